--- a/crates/sapphiretrack-routing/src/broadcast.rs
+++ b/crates/sapphiretrack-routing/src/broadcast.rs
@@ -1,32 +1,33 @@
-//! How a message reaches all routers with few bytes between availability zones.
+//! Plans how a message reaches all routers while little of it crosses availability zones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A router that is to receive a message.
+/// A router that should receive a message.
 #[derive(Clone, Copy, Debug)]
 pub struct Recipient<'a> {
-    /// Where it receives messages.
+    /// The address at which it receives messages.
     pub address: SocketAddr,
-    /// Its availability zone; none if that is not known yet.
+    /// Its availability zone; `None` if not known yet.
     pub zone: Option<&'a str>,
-    /// Whether it is live, so that it can relay.
+    /// Whether it is live and can therefore relay.
     pub is_live: bool,
 }
 
-/// Who is sent a message.
+/// The routers that a message is sent to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BroadcastPlan {
-    /// Routers that receive it for themselves.
+    /// Routers that receive the message only for themselves.
     pub direct: Vec<SocketAddr>,
-    /// Routers that also pass it on to all others of their availability zone.
+    /// Routers that also forward it to all others of their availability zone.
     pub relays: Vec<SocketAddr>,
 }
 
 impl BroadcastPlan {
-    /// Plans a broadcast: routers of the own availability zone receive it directly, each other
-    /// zone through `copies` live relays, or directly where that is no more. Relays take turns,
-    /// so that the work is shared and a lost one costs single messages.
+    /// Plans a broadcast. Routers of the own availability zone receive the message directly. Each
+    /// other zone receives it through `copies` live relays, or directly if it has no more routers
+    /// than that or no live one. `turn` rotates the relays, which spreads the work; a lost relay
+    /// then costs only single messages.
     pub fn new<'a, Recipients>(
         own_zone: &str,
         recipients: Recipients,
@@ -58,12 +59,12 @@
         plan
     }
 
-    /// How many messages this router sends for it.
+    /// Returns how many messages this router sends.
     pub fn len(&self) -> usize {
         self.direct.len() + self.relays.len()
     }
 
-    /// Whether there is nobody to send it to.
+    /// Returns whether there are no recipients.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/sapphiretrack-routing/src/change_log.rs
+++ b/crates/sapphiretrack-routing/src/change_log.rs
@@ -1,5 +1,5 @@
-//! Changes of a listing between routers: the latest ones for those that missed some, and fragments of
-//! those that are too long for one datagram.
+//! Changes of a listing exchanged between routers: a log of the latest ones for routers that missed
+//! some, and fragments of batches that exceed one datagram.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,7 +7,8 @@
 
 use crate::{ServerChange, ServerChanges};
 
-/// The latest changes of a listing. A router that missed some reads only those.
+/// The latest changes of a listing. A router that missed some reads only those instead of the whole
+/// listing.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     batches: VecDeque<ServerChanges>,
@@ -15,10 +16,11 @@
 }
 
 impl ChangeLog {
-    /// The most changes that are kept.
+    /// Maximum number of changes kept.
     pub const MAX_CHANGES: usize = 4_096;
 
-    /// Adds changes that were applied here.
+    /// Appends changes that were applied locally. If they do not continue the log, the older ones
+    /// are dropped.
     pub fn note(&mut self, batch: ServerChanges) {
         let is_next = self
             .batches
@@ -37,13 +39,15 @@
         }
     }
 
-    /// Forgets all changes: a whole listing was applied, and what it changed is not known.
+    /// Drops all changes, for when a whole listing was applied and the individual changes are
+    /// unknown.
     pub fn clear(&mut self) {
         self.batches.clear();
         self.changes = 0;
     }
 
-    /// All changes after a version; none if older ones are needed, or there are no later ones.
+    /// Returns all changes after a version; `None` if the log does not reach back that far or holds
+    /// nothing newer.
     pub fn since(&self, version: u64) -> Option<ServerChanges> {
         let first = self
             .batches
@@ -62,23 +66,25 @@
     }
 }
 
-/// A fragment of changes that are too long for one datagram.
+/// A part of a batch of changes that does not fit into one datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChangesFragment {
-    /// Which one, from 0.
+    /// Index of the fragment, from 0.
     pub index: u16,
-    /// How many there are.
+    /// Total number of fragments.
     pub count: u16,
-    /// The changes in it, with the versions of them all.
+    /// The changes in this fragment, with the versions of the whole batch.
     pub changes: ServerChanges,
 }
 
 impl ChangesFragment {
-    /// The most fragments of one batch of changes; longer batches are read from a router.
+    /// Maximum number of fragments per batch. Larger batches are not sent: receivers read them from
+    /// a router.
     pub const MAX_COUNT: usize = 64;
 
-    /// Splits changes so that those of a fragment take at most `max_bytes` by `size`; none if they
-    /// are too many. One change that takes more has a fragment of its own.
+    /// Splits a batch so that the changes of each fragment take at most `max_bytes`, as measured by
+    /// `size`. A single larger change gets a fragment of its own. Returns an empty list if more
+    /// than [`Self::MAX_COUNT`] fragments would be needed.
     pub fn split<Size>(batch: ServerChanges, max_bytes: usize, size: Size) -> Vec<Self>
     where
         Size: Fn(&ServerChange) -> usize,
@@ -114,10 +120,10 @@
     }
 }
 
-/// Puts fragments together again, in whatever order and from however many routers they come.
+/// Reassembles fragments, which may arrive in any order and from several routers.
 #[derive(Clone, Debug, Default)]
 pub struct ChangesAssembly {
-    /// By the versions before and after them; the oldest one first.
+    /// Keyed by the versions before and after the batch; oldest first.
     batches: VecDeque<((u64, u64), PartialBatch)>,
 }
 
@@ -128,10 +134,10 @@
 }
 
 impl ChangesAssembly {
-    /// The most batches that wait for fragments; the oldest one is given up for another.
+    /// Maximum number of incomplete batches; when it is exceeded the oldest is dropped.
     const MAX_BATCHES: usize = 4;
 
-    /// Takes in a fragment; returns all changes once the last one is there.
+    /// Adds a fragment. Returns the whole batch once its last fragment has arrived.
     pub fn add(&mut self, fragment: ChangesFragment) -> Option<ServerChanges> {
         let ChangesFragment {
             index,
@@ -173,7 +179,7 @@
         })
     }
 
-    /// Gives up batches that bring nothing after a version.
+    /// Drops incomplete batches that contain nothing newer than a version.
     pub fn forget_until(&mut self, version: u64) {
         self.batches
             .retain(|((_, batch_version), _)| *batch_version > version);
--- a/crates/sapphiretrack-routing/src/configuration.rs
+++ b/crates/sapphiretrack-routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, limits of callers' connections, tenants' keys.
+//! The active configuration: routes, services, limits of client connections and tenant keys.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,63 +7,63 @@
 
 use crate::RequestKind;
 
-/// Where requests of a host and path prefix go, and under which terms.
+/// Where requests for a host and path prefix go, and the terms that apply to them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name, used in logs.
     pub name: String,
-    /// The host, in lower case and without a port.
+    /// Host, in lower case and without a port.
     pub host: String,
-    /// The path prefix; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be retried.
     pub kind: RequestKind,
-    /// The longest time that a request may be kept waiting for its whole answer.
+    /// Longest time that a request may wait for its complete answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer, or its first event, is on time.
+    /// Time within which a complete answer, or its first event, counts as on time, in milliseconds.
     pub objective_ms: u64,
-    /// Its rank: 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// The services that share its requests.
+    /// Services that its requests are distributed over.
     pub targets: Vec<Target>,
-    /// The most backend servers that one request may run on.
+    /// Maximum number of backend servers on which one request may run.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
 }
 
-/// A service that gets a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Target {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its share, relative to the other targets'.
+    /// Weight relative to the other targets.
     pub weight: u32,
 }
 
-/// A group of backend servers that do the same.
+/// A group of interchangeable backend servers.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The most connections that one of its servers accepts from all routers together.
+    /// Maximum number of connections that one of its servers accepts from all routers together.
     pub max_connections: u32,
     /// Whether its servers run a model and cache prompts.
     pub is_engine: bool,
-    /// Tokens that an engine's memory holds.
+    /// Capacity of an engine's cache in tokens.
     pub memory_tokens: u64,
-    /// Requests that an engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
 }
 
-/// What a caller may send, and how long its connection may idle.
+/// Limits on what a caller may send and how long its connection may stay idle.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClientLimits {
-    /// The longest head of a request.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// The longest body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// How long an idle connection is kept.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -80,42 +80,42 @@
 /// A customer of the fleet.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Tenant {
-    /// Its name, which backend servers are told.
+    /// Name, passed on to backend servers.
     pub name: String,
-    /// Its rank, which goes before the route's.
+    /// Priority; overrides the route's if set.
     pub priority: Option<u8>,
 }
 
-/// All that operators decide, under one version that only rises.
+/// Everything that operators configure, under one version that only increases.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Limits of callers' connections.
+    /// Limits of client connections.
     pub limits: ClientLimits,
-    /// By host and prefix; versions share the routes that did not change.
+    /// Routes by host and prefix. Versions share the routes that did not change.
     pub(crate) routes: HashMap<String, HashMap<String, Arc<Route>>>,
     pub(crate) services: HashMap<String, Service>,
     pub(crate) requires_keys: bool,
     pub(crate) keys: HashMap<String, Arc<Tenant>>,
 }
 
-/// Why a request is not let through.
+/// Reason for which a request is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteError {
-    /// No route matches its host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// Its key is missing or unknown.
+    /// The key is missing or unknown.
     UnknownKey,
 }
 
 impl Configuration {
-    /// A configuration of these routes and services, still without tenants.
+    /// Creates a configuration of these routes and services, without tenants.
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>) -> Self {
         let mut by_host: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
         for route in routes {
-            let of_host = by_host.entry(route.host.clone()).or_default();
-            of_host.insert(route.prefix.clone(), Arc::new(route));
+            let host_routes = by_host.entry(route.host.clone()).or_default();
+            host_routes.insert(route.prefix.clone(), Arc::new(route));
         }
         let services = services.into_iter();
         Self {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Adds a tenant with its keys.
+    /// Adds a tenant and its keys. From then on routes that are not anonymous require a key.
     pub fn add_tenant<Keys>(&mut self, tenant: Tenant, keys: Keys)
     where
         Keys: IntoIterator<Item = String>,
@@ -137,16 +137,16 @@
         self.keys.extend(keys);
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the route with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let of_host = match self.routes.get(host) {
+        let host_routes = match self.routes.get(host) {
             Some(routes) => routes,
-            None => self.routes.get(&normal_host(host))?,
+            None => self.routes.get(&normalize_host(host))?,
         };
         let mut end = path.len();
-        // Each prefix ends with a slash, so that only cuts after a slash can match.
+        // Every prefix ends with a slash, so only cuts after a slash can match.
         while let Some(slash) = path[..end].rfind('/') {
-            if let Some(route) = of_host.get(&path[..=slash]) {
+            if let Some(route) = host_routes.get(&path[..=slash]) {
                 return Some(route);
             }
             end = slash;
@@ -154,7 +154,8 @@
         None
     }
 
-    /// The tenant of a key; none if no tenants are configured or the route needs no key.
+    /// Returns the tenant that a key belongs to; `None` if no tenants are configured or the route
+    /// needs no key.
     pub fn tenant(&self, route: &Route, key: Option<&str>) -> Result<Option<&Tenant>, RouteError> {
         if !self.needs_key(route) {
             return Ok(None);
@@ -166,28 +167,29 @@
         }
     }
 
-    /// Whether requests on a route must show a key.
+    /// Returns whether requests on a route must present a key.
     pub fn needs_key(&self, route: &Route) -> bool {
         self.requires_keys && !route.anonymous
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 }
 
 impl Route {
-    /// The service that a request goes to; `draw` is below 1 and spreads requests by weight.
+    /// Returns the service for a request, chosen by weight. `draw` is a random number below 1;
+    /// `None` if no target has a weight.
     pub fn pick_target(&self, draw: f64) -> Option<&str> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = draw.clamp(0.0, 1.0) * f64::from(total);
+        let mut remaining = draw.clamp(0.0, 1.0) * f64::from(total);
         let weighted = self.targets.iter().filter(|target| target.weight > 0);
         let mut last = None;
         for target in weighted {
             last = Some(target.service.as_str());
-            left -= f64::from(target.weight);
-            if left < 0.0 {
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 {
                 break;
             }
         }
@@ -195,8 +197,8 @@
     }
 }
 
-/// A host in lower case and without its port.
-fn normal_host(host: &str) -> String {
+/// Converts a host to lower case and strips its port.
+fn normalize_host(host: &str) -> String {
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     name.to_ascii_lowercase()
 }
--- a/crates/sapphiretrack-routing/src/configuration_change.rs
+++ b/crates/sapphiretrack-routing/src/configuration_change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration between routers, so that a change costs what it changes.
+//! Differences between versions of the configuration, so that routers exchange only what changed.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 
 use crate::{ClientLimits, Configuration, RequestKind, Route, Service, Target, Tenant};
 
-/// What turns one configuration into a later one.
+/// The difference between two versions of the configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ConfigurationChange {
-    /// The version that it starts from; 0 is [`Configuration::default`].
+    /// Version that the change applies to; 0 is [`Configuration::default`].
     pub before: u64,
-    /// The version that it leads to.
+    /// Version that results from it.
     pub version: u64,
     limits: ClientLimits,
     requires_keys: bool,
@@ -25,16 +25,17 @@
     keys: Vec<KeyGroup>,
 }
 
-/// Routes of a host that differ in name and prefix only: thousands of routes share few terms.
+/// Routes of a host that differ only in name and prefix. Thousands of routes share few distinct
+/// terms.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct RouteGroup {
     host: String,
     terms: RouteTerms,
-    /// Prefix and name.
+    /// Prefix and name of each route.
     routes: Vec<(String, String)>,
 }
 
-/// What a route says besides its name, host and prefix.
+/// The fields of a route besides its name, host and prefix.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 struct RouteTerms {
     kind: RequestKind,
@@ -46,7 +47,7 @@
     anonymous: bool,
 }
 
-/// Keys of a tenant.
+/// New or changed keys of a tenant.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct KeyGroup {
     tenant: Arc<Tenant>,
@@ -92,7 +93,7 @@
 }
 
 impl ConfigurationChange {
-    /// What turns `before` into `after`.
+    /// Computes the change from `before` to `after`.
     pub fn between(before: &Configuration, after: &Configuration) -> Self {
         let removed_services = before.services.keys();
         let removed_services = removed_services.filter(|name| !after.services.contains_key(*name));
@@ -114,7 +115,7 @@
         }
     }
 
-    /// How many routes, services and keys it names.
+    /// Returns the number of routes, services and keys in the change.
     pub fn entries(&self) -> usize {
         let removed_routes = self.removed_routes.values().map(Vec::len);
         let routes = self.routes.iter().map(|group| group.routes.len());
@@ -125,7 +126,8 @@
             + self.removed_keys.len()
     }
 
-    /// The configuration that it leads to; none from another version than its own.
+    /// Applies the change and returns the new configuration; `None` if `before` is not the version
+    /// that it applies to.
     pub fn apply(&self, before: &Configuration) -> Option<Configuration> {
         if before.version != self.before {
             return None;
@@ -135,11 +137,11 @@
         after.limits = self.limits.clone();
         after.requires_keys = self.requires_keys;
         for (host, prefixes) in &self.removed_routes {
-            let Some(of_host) = after.routes.get_mut(host) else {
+            let Some(host_routes) = after.routes.get_mut(host) else {
                 continue;
             };
-            of_host.retain(|prefix, _| !prefixes.contains(prefix));
-            if of_host.is_empty() {
+            host_routes.retain(|prefix, _| !prefixes.contains(prefix));
+            if host_routes.is_empty() {
                 after.routes.remove(host);
             }
         }
@@ -149,12 +151,12 @@
             routes,
         } in &self.routes
         {
-            let of_host = after.routes.entry(host.clone()).or_default();
+            let host_routes = after.routes.entry(host.clone()).or_default();
             let routes = routes.iter().map(|(prefix, name)| {
                 let route = terms.route(host, prefix.clone(), name.clone());
                 (prefix.clone(), Arc::new(route))
             });
-            of_host.extend(routes);
+            host_routes.extend(routes);
         }
         for name in &self.removed_services {
             after.services.remove(name);
@@ -192,15 +194,15 @@
             .filter(|(prefix, route)| known.and_then(|known| known.get(*prefix)) != Some(route));
         let mut by_terms: HashMap<RouteTerms, Vec<(String, String)>> = HashMap::new();
         for (prefix, route) in changed {
-            let of_terms = by_terms.entry(RouteTerms::of(route)).or_default();
-            of_terms.push((prefix.clone(), route.name.clone()));
+            let term_routes = by_terms.entry(RouteTerms::of(route)).or_default();
+            term_routes.push((prefix.clone(), route.name.clone()));
         }
-        let of_host = by_terms.into_iter().map(|(terms, routes)| RouteGroup {
+        let host_groups = by_terms.into_iter().map(|(terms, routes)| RouteGroup {
             host: host.clone(),
             terms,
             routes,
         });
-        groups.extend(of_host);
+        groups.extend(host_groups);
     }
     groups
 }
@@ -219,7 +221,8 @@
     groups.collect()
 }
 
-/// The latest changes of the configuration. A router that missed some reads only those.
+/// The latest changes of the configuration. A router that missed some reads only those instead of
+/// the whole configuration.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationLog {
     changes: VecDeque<Arc<ConfigurationChange>>,
@@ -227,12 +230,13 @@
 }
 
 impl ConfigurationLog {
-    /// The most routes, services and keys that are kept.
+    /// Maximum number of routes, services and keys in all kept changes together.
     pub const MAX_ENTRIES: usize = 8_192;
-    /// The most changes that are kept.
+    /// Maximum number of changes kept.
     pub const MAX_CHANGES: usize = 256;
 
-    /// Adds a change that was put into force here.
+    /// Appends a change that was activated locally. If it does not continue the log, the older ones
+    /// are dropped.
     pub fn note(&mut self, change: ConfigurationChange) {
         if self
             .version()
@@ -243,7 +247,8 @@
         }
         self.entries += change.entries();
         self.changes.push_back(Arc::new(change));
-        // The last change tells which version this router has, whatever its size.
+        // The last change is always kept, whatever its size: it tells which version this router
+        // has.
         while self.changes.len() > 1
             && (self.entries > Self::MAX_ENTRIES || self.changes.len() > Self::MAX_CHANGES)
         {
@@ -252,7 +257,7 @@
         }
     }
 
-    /// All changes since a version, in their order; none if some are not known.
+    /// Returns all changes since a version, in order; `None` if some are no longer known.
     pub fn since(&self, version: u64) -> Option<Vec<Arc<ConfigurationChange>>> {
         if self.version() == Some(version) {
             return Some(Vec::new());
@@ -262,7 +267,7 @@
         Some(self.changes.range(first..).cloned().collect())
     }
 
-    /// The version that the last change led to.
+    /// The version that the last change resulted in.
     fn version(&self) -> Option<u64> {
         self.changes.back().map(|change| change.version)
     }
--- a/crates/sapphiretrack-routing/src/listing_readers.rs
+++ b/crates/sapphiretrack-routing/src/listing_readers.rs
@@ -1,4 +1,4 @@
-//! Which routers read a listing from this one, so that others can read it from those.
+//! Tracks which routers read a listing from this one, so that others can be sent to them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,31 +8,32 @@
 pub struct ListingReader {
     /// Its availability zone.
     pub zone: String,
-    /// Where other routers read from it.
+    /// Address at which other routers can read the listing from it.
     pub address: SocketAddr,
 }
 
-/// The routers that were served last. One that finds this router busy is sent to them, so that a
-/// large listing spreads by doubling and mostly within availability zones.
+/// The routers that were served last. A router that finds this one busy is sent to them, so that a
+/// large listing spreads exponentially and mostly within availability zones.
 #[derive(Clone, Debug, Default)]
 pub struct ListingReaders {
     readers: VecDeque<ListingReader>,
 }
 
 impl ListingReaders {
-    /// The most that are kept.
+    /// Maximum number of readers kept.
     pub const MAX_KEPT: usize = 128;
-    /// The most that are named to one reader.
+    /// Maximum number of readers suggested to another one.
     pub const MAX_NAMED: usize = 16;
 
-    /// Notes that a router is served.
+    /// Records that a router is being served.
     pub fn note(&mut self, reader: ListingReader) {
         self.readers.retain(|one| one.address != reader.address);
         self.readers.push_front(reader);
         self.readers.truncate(Self::MAX_KEPT);
     }
 
-    /// The latest ones, of the reader's availability zone if there are any.
+    /// Returns the latest other readers: those in the reader's availability zone, or all if there
+    /// are none.
     pub fn name_to(&self, reader: &ListingReader) -> Vec<SocketAddr> {
         let others = self.readers.iter();
         let others = others.filter(|one| one.address != reader.address);
--- a/crates/sapphiretrack-routing/src/listing_source.rs
+++ b/crates/sapphiretrack-routing/src/listing_source.rs
@@ -1,8 +1,8 @@
-//! Where a router reads a listing that it lacks: from another router, or from the store.
+//! Decides where a router reads a listing that it lacks: from another router or from the store.
 
 use crate::Holder;
 
-/// Why a router reads a listing.
+/// Reason for which a router reads a listing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ListingNeed {
     /// It has all changes, and a recent proof of that.
@@ -13,97 +13,98 @@
     Proof,
 }
 
-/// What a router knows when it decides where to read.
+/// Inputs of the decision where to read.
 #[derive(Clone, Copy, Debug)]
 pub struct ListingView<'a> {
-    /// Why it reads.
+    /// Reason for reading.
     pub need: ListingNeed,
-    /// Whether it is one of the few that keep watches open at the store.
+    /// Whether this router is one of the few that keep watches open at the store.
     pub is_watcher: bool,
-    /// Whether it knows the other routers as far as the store lists them.
+    /// Whether it knows all other routers that the store lists.
     pub is_discovered: bool,
     /// Live routers that have the listing.
     pub holders: &'a [Holder],
-    /// All other live routers.
+    /// Number of other live routers.
     pub live: usize,
-    /// Whether any router sent a heartbeat lately; one that is cut off learns nothing by waiting.
+    /// Whether any router sent a heartbeat recently. An isolated router learns nothing by waiting.
     pub is_connected: bool,
     /// A random number below 1.
     pub draw: f64,
-    /// The time.
+    /// Current time in milliseconds.
     pub now_ms: u64,
 }
 
-/// What a router does next.
+/// The next step of a router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ListingStep {
-    /// It decides again at this time, or when something changes.
+    /// Decide again at this time, or earlier when something changes.
     Wait {
-        /// When, at the latest.
+        /// Latest time of the next decision, in milliseconds.
         until_ms: u64,
     },
-    /// It asks another router.
+    /// Ask another router.
     Peer(Holder),
-    /// It asks the store.
+    /// Ask the store.
     Store,
 }
 
 /// Decides where a router reads a listing, so that the load on the store grows with the number of
 /// changes and not with the number of routers.
 ///
-/// A missing change is read from a router that advertises it, and from the store only if that
-/// does not work in time. Proofs are left to the watchers; if they fail, a few of the others
-/// probe the store after random delays, and what one learns spreads to all.
+/// A missing change is read from a router that advertises it, and from the store only if that does
+/// not succeed in time. Proofs are left to the watchers. If the watchers fail, a few of the other
+/// routers probe the store after random delays, and what one of them learns spreads to all.
 #[derive(Clone, Debug, Default)]
 pub struct ListingSource {
-    since: Option<Since>,
-    /// No question to another router before this time.
+    since: Option<NeedStart>,
+    /// No request to another router before this time.
     next_peer_ms: u64,
-    /// No question to the store before this time.
+    /// No request to the store before this time.
     next_store_ms: u64,
-    /// Other routers that could not answer.
+    /// Number of requests to other routers, except those answered as busy.
     attempts: u32,
-    /// Whether another router had no room to answer.
+    /// Whether another router was too busy to answer.
     has_met_busy: bool,
-    /// Whether the store could not answer.
+    /// Whether the store failed to answer.
     has_failed: bool,
-    /// Whether other routers have what is missing.
+    /// Whether other routers have the missing content.
     has_holders: bool,
 }
 
-/// A need and when it arose.
+/// A need and the time at which it arose.
 #[derive(Clone, Copy, Debug)]
-struct Since {
+struct NeedStart {
     is_proof: bool,
     ms: u64,
 }
 
 impl ListingSource {
-    /// The most other routers that are asked for one change.
+    /// Maximum number of requests to other routers before the store is asked.
     const MAX_PEER_ATTEMPTS: u32 = 4;
-    /// The delay before the first question, per live router: changes that are pushed arrive in
-    /// it, and the routers that have the change first are not asked by all at once.
+    /// Delay before the first request, in milliseconds per live router. Pushed changes arrive in
+    /// the meantime, and the routers that have a change first are not asked by all others at once.
     const SPREAD_MS_PER_ROUTER: f64 = 0.5;
-    /// The longest such delay.
+    /// Maximum of that delay in milliseconds.
     const MAX_SPREAD_MS: f64 = 150.0;
-    /// The shortest delay after another router could not answer, and the range above it.
+    /// Minimum delay after another router failed to answer, and the random range added to it, in
+    /// milliseconds.
     const PEER_RETRY_MS: (u64, f64) = (40, 80.0);
-    /// After this time without the content the store is asked.
+    /// Time without the content after which the store is asked, in milliseconds.
     const PEER_LIMIT_MS: u64 = 700;
-    /// The same while routers that have it are busy with others.
+    /// The same limit while routers that have the content are busy.
     const BUSY_LIMIT_MS: u64 = 2_000;
-    /// The same while no router is known that has it, as in the start of a whole fleet.
+    /// The same limit while no router is known to have the content, as when a whole fleet starts.
     const START_LIMIT_MS: u64 = 1_500;
-    /// Probes of the store a second by all routers together while there is no proof.
+    /// Probes of the store per second by all routers together while there is no proof.
     const PROBES_PER_S: f64 = 8.0;
-    /// The shortest range of the delay before a probe.
+    /// Minimum range of the random delay before a probe, in milliseconds.
     const MIN_PROBE_SPREAD_MS: f64 = 100.0;
-    /// The shortest range of the delay after the store could not answer.
+    /// Minimum range of the random delay after the store failed to answer, in milliseconds.
     const MIN_STORE_RETRY_MS: f64 = 1_000.0;
-    /// How often a router without a plan looks again.
-    const LOOK_MS: u64 = 250;
+    /// Interval of the decisions while nothing is needed, in milliseconds.
+    const RECHECK_MS: u64 = 250;
 
-    /// What to do now.
+    /// Returns the next step.
     pub fn step(&mut self, view: &ListingView<'_>) -> ListingStep {
         let now_ms = view.now_ms;
         if view.is_watcher && view.is_discovered {
@@ -112,13 +113,14 @@
         if view.need == ListingNeed::Nothing {
             self.reset();
             return ListingStep::Wait {
-                until_ms: now_ms + Self::LOOK_MS,
+                until_ms: now_ms + Self::RECHECK_MS,
             };
         }
-        let since_ms = self.begin(view);
+        let since_ms = self.start_need(view);
         let discovers_until_ms = since_ms + Self::START_LIMIT_MS;
         if view.need == ListingNeed::Proof && !view.is_discovered && now_ms < discovers_until_ms {
-            // The list of routers brings the store's clock, which other routers' proofs lack here.
+            // The list of routers comes with the store's clock, without which proofs of other
+            // routers cannot be used.
             return ListingStep::Wait {
                 until_ms: discovers_until_ms,
             };
@@ -130,23 +132,24 @@
         }
     }
 
-    /// Notes that another router could not answer.
+    /// Records that another router failed to answer.
     pub fn note_peer_failure(&mut self, draw: f64, now_ms: u64) {
         let (least_ms, range_ms) = Self::PEER_RETRY_MS;
         self.next_peer_ms = now_ms + least_ms + (range_ms * draw) as u64;
     }
 
-    /// Notes that another router had no room to answer. As more routers have the listing, one has
-    /// room soon: that is not a failure.
+    /// Records that another router was too busy to answer. That does not count as a failed attempt:
+    /// as more routers get the listing, one soon has capacity.
     pub fn note_peer_busy(&mut self, draw: f64, now_ms: u64) {
         self.attempts = self.attempts.saturating_sub(1);
         self.has_met_busy = true;
         self.note_peer_failure(draw, now_ms);
     }
 
-    /// Notes that the store could not answer. By the next question other routers may know more.
+    /// Records that the store failed to answer. Other routers are asked again first, since they may
+    /// have learned more by then.
     pub fn note_store_failure(&mut self, live: usize, draw: f64, now_ms: u64) {
-        // A change that others have is missing here only, and its time is bounded.
+        // A change that others have is missing only here and must be read within a bounded time.
         let range_ms = match self.has_holders {
             true => Self::MIN_STORE_RETRY_MS,
             false => Self::probe_spread_ms(live).max(Self::MIN_STORE_RETRY_MS),
@@ -159,12 +162,12 @@
         }
     }
 
-    /// Notes that an answer came: the next need starts anew.
+    /// Records a successful answer: the next need starts from scratch.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    fn begin(&mut self, view: &ListingView<'_>) -> u64 {
+    fn start_need(&mut self, view: &ListingView<'_>) -> u64 {
         let is_proof = view.need == ListingNeed::Proof;
         if let Some(since) = self.since
             && since.is_proof == is_proof
@@ -174,14 +177,15 @@
         let ms = view.now_ms;
         let peer_spread_ms = view.live as f64 * Self::SPREAD_MS_PER_ROUTER;
         let peer_delay_ms = peer_spread_ms.min(Self::MAX_SPREAD_MS) * view.draw;
-        // Routers that know no holder may all be waiting for the same few: the delay tells them apart.
+        // Routers that know no holder may all be waiting for the same few; a random delay spreads
+        // them.
         let store_delay_ms = Self::probe_spread_ms(view.live) * view.draw;
         let first_store_ms = match is_proof {
             true => ms,
             false => ms + Self::START_LIMIT_MS,
         };
         *self = Self {
-            since: Some(Since { is_proof, ms }),
+            since: Some(NeedStart { is_proof, ms }),
             next_peer_ms: ms + peer_delay_ms as u64,
             next_store_ms: first_store_ms + store_delay_ms as u64,
             ..Self::default()
@@ -209,9 +213,9 @@
         if may_ask_store && !is_peers_turn {
             return ListingStep::Store;
         }
-        // While the store fails other routers are asked on: one that has it becomes free.
+        // While the store fails, keep asking other routers: a busy one may become free.
         self.attempts += 1;
-        ListingStep::Peer(Self::pick(view))
+        ListingStep::Peer(Self::pick_holder(view))
     }
 
     fn proof_step(&self, view: &ListingView<'_>) -> ListingStep {
@@ -229,8 +233,8 @@
         }
     }
 
-    /// A random holder, of the own availability zone if it has one.
-    fn pick(view: &ListingView<'_>) -> Holder {
+    /// Picks a random holder, from the own availability zone if it has any.
+    fn pick_holder(view: &ListingView<'_>) -> Holder {
         let near = view.holders.iter().filter(|holder| holder.is_near).count();
         let count = match near {
             0 => view.holders.len(),
--- a/crates/sapphiretrack-routing/src/server_list.rs
+++ b/crates/sapphiretrack-routing/src/server_list.rs
@@ -1,4 +1,4 @@
-//! Which backend servers there are and which take new work, from the store's entries.
+//! The list of backend servers that accept work, from the store's entries.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -7,114 +7,115 @@
 use sapphiretrack_core::hash_parts;
 use serde::{Deserialize, Serialize};
 
-/// One run of a backend server: its id, and when it started where the id is used again.
+/// One run of a backend server, identified by its id and, where ids are reused, its start time.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation of a server's id and the Unix millisecond of its start.
+    /// Computes the incarnation from a server's id and the Unix time of its start in milliseconds.
     pub fn new(id: &str, started_ms: Option<u64>) -> Self {
         let started = started_ms.unwrap_or(0).to_le_bytes();
         Self(hash_parts(&[id.as_bytes(), &started]))
     }
 
-    /// A short form for messages about many servers. Two of a few thousand servers seldom have
-    /// the same, and then count each other's load.
+    /// Returns a short tag for messages about many servers. Among a few thousand servers collisions
+    /// are rare; such servers are counted with each other's load.
     pub fn tag(self) -> u32 {
         self.0 as u32
     }
 }
 
-/// What a server says about itself.
+/// The state that a server reports.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ServerState {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It finishes what it has, then ends.
+    /// It finishes its requests, then ends.
     Draining,
 }
 
-/// A server's entry, decoded.
+/// A decoded entry of a server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServerEntry {
-    /// Its id, which requests name so that no other server runs them.
+    /// Its id. Requests contain it so that no other server runs them.
     pub id: Arc<str>,
-    /// Which run of it this is.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The service it belongs to.
+    /// Service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// What it says about itself.
+    /// State that it reports.
     pub state: ServerState,
 }
 
 /// A change of the list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ServerChange {
-    /// A server's newest entry.
+    /// The newest entry of a server.
     Entry(ServerEntry),
-    /// A server's entry is gone.
+    /// The entry of a server was removed.
     Gone {
-        /// The server's id.
+        /// Id of the server.
         id: String,
     },
-    /// An entry cannot be read and names no server.
+    /// An entry is invalid and does not identify a server.
     Unreadable {
-        /// Its key.
+        /// Key of the entry.
         id: String,
-        /// What is wrong with it.
+        /// Reason why the entry is invalid.
         reason: String,
     },
 }
 
-/// A server that is listed.
+/// A listed server.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
     /// Its newest entry.
     pub entry: Arc<ServerEntry>,
-    /// Since when its entry is missing while entries may still come back.
+    /// Since when its entry has been missing, while entries may still be restored; `None` if
+    /// present.
     pub missing_since_ms: Option<u64>,
 }
 
 /// All listed servers.
 ///
-/// For an incarnation draining is final: an older entry that shows up late does not undo it.
+/// Draining is final for an incarnation: an older entry that arrives late does not undo it.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     servers: BTreeMap<Arc<str>, ListedServer>,
     drained: HashSet<Incarnation>,
-    /// Until when a missing entry may still come back after an outage of the store.
-    settling_until_ms: u64,
+    /// Until when missing entries may still be restored after an outage of the store.
+    recovery_grace_until_ms: u64,
 }
 
 impl ServerList {
-    /// How long entries that lapsed during an outage may take to come back, by the store's
-    /// contract, with a tenth for the way.
-    const SETTLE_MS: u64 = 2_200;
-    /// The same where only another router met an outage: its cause may have been that router's
-    /// own, and then a server that is gone must not be used two seconds later.
-    const PEER_SETTLE_MS: u64 = 1_800;
-    /// The most drained incarnations that are remembered.
+    /// Time within which entries that lapsed during an outage are restored by the store's contract,
+    /// in milliseconds, plus a tenth for the transmission.
+    const RECOVERY_GRACE_MS: u64 = 2_200;
+    /// The same if only another router saw an outage. The cause may have been that router's own,
+    /// and a server that is gone must not still be used after two seconds.
+    const PEER_RECOVERY_GRACE_MS: u64 = 1_800;
+    /// Maximum number of drained incarnations remembered.
     const MAX_DRAINED: usize = 10_000;
 
-    /// Notes that the store answers this router again after an outage.
+    /// Records that the store answers this router again after an outage.
     pub fn note_store_back(&mut self, now_ms: u64) {
-        self.settling_until_ms = now_ms + Self::SETTLE_MS;
+        self.recovery_grace_until_ms = now_ms + Self::RECOVERY_GRACE_MS;
     }
 
-    /// Notes that another router saw the store serve again at a time, after an outage of which
-    /// this one may have seen nothing. Told again it changes nothing.
+    /// Records the time at which another router saw the store recover from an outage, which this
+    /// router may not have noticed. Idempotent.
     pub fn note_peer_recovery(&mut self, recovered_ms: u64) {
-        let until_ms = recovered_ms + Self::PEER_SETTLE_MS;
-        self.settling_until_ms = self.settling_until_ms.max(until_ms);
+        let until_ms = recovered_ms + Self::PEER_RECOVERY_GRACE_MS;
+        self.recovery_grace_until_ms = self.recovery_grace_until_ms.max(until_ms);
     }
 
-    /// Takes in an entry. Returns true if the server was not known as leaving and is now.
+    /// Inserts or updates an entry. Returns true if the server is draining and was not known to be.
     pub fn upsert(&mut self, entry: ServerEntry) -> bool {
         if entry.state == ServerState::Draining {
             if self.drained.len() >= Self::MAX_DRAINED {
@@ -135,9 +136,9 @@
         false
     }
 
-    /// Takes in that an entry is gone; true if the server takes no new work from now on.
+    /// Records that an entry was removed. Returns true if the server is no longer used from now on.
     pub fn remove(&mut self, id: &str, now_ms: u64) -> bool {
-        if now_ms < self.settling_until_ms {
+        if now_ms < self.recovery_grace_until_ms {
             if let Some(listed) = self.servers.get_mut(id) {
                 listed.missing_since_ms.get_or_insert(now_ms);
             }
@@ -146,7 +147,7 @@
         self.servers.remove(id).is_some()
     }
 
-    /// Takes in all entries at once. Returns the ids that are missing from them and were dropped.
+    /// Replaces all entries. Returns the ids that are missing from them and were dropped.
     pub fn replace(&mut self, entries: Vec<ServerEntry>, now_ms: u64) -> Vec<Arc<str>> {
         let present: HashSet<Arc<str>> = entries.iter().map(|entry| entry.id.clone()).collect();
         for entry in entries {
@@ -158,9 +159,9 @@
         dropped.collect()
     }
 
-    /// Drops entries that did not come back in time; their ids.
+    /// Drops entries that were not restored in time. Returns their ids.
     pub fn settle(&mut self, now_ms: u64) -> Vec<Arc<str>> {
-        if now_ms < self.settling_until_ms {
+        if now_ms < self.recovery_grace_until_ms {
             return Vec::new();
         }
         let late = self.servers.iter();
@@ -172,19 +173,19 @@
         late
     }
 
-    /// Whether this run of a server is listed.
+    /// Returns whether this run of a server is listed.
     pub fn contains(&self, entry: &ServerEntry) -> bool {
         let listed = self.servers.get(&entry.id);
         listed.is_some_and(|listed| listed.entry.incarnation == entry.incarnation)
     }
 
-    /// Whether entries are missing that may still come back.
+    /// Returns whether entries are missing that may still be restored.
     pub fn is_settling(&self) -> bool {
         let mut servers = self.servers.values();
         servers.any(|listed| listed.missing_since_ms.is_some())
     }
 
-    /// The servers by service, for placement.
+    /// Returns the servers by service, for placement.
     pub fn by_service(&self) -> HashMap<String, Vec<Arc<ServerEntry>>> {
         let mut services: HashMap<String, Vec<Arc<ServerEntry>>> = HashMap::new();
         for listed in self.servers.values() {
@@ -194,19 +195,19 @@
         services
     }
 
-    /// The servers whose entries the store has now, as it would list them.
+    /// Returns the servers whose entries are present in the store.
     pub fn present(&self) -> Vec<Arc<ServerEntry>> {
         let present = self.servers.values();
         let present = present.filter(|listed| listed.missing_since_ms.is_none());
         present.map(|listed| listed.entry.clone()).collect()
     }
 
-    /// How many servers are listed.
+    /// Returns the number of listed servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no server is listed.
+    /// Returns whether no server is listed.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
--- a/crates/sapphiretrack-routing/src/watch_state.rs
+++ b/crates/sapphiretrack-routing/src/watch_state.rs
@@ -1,77 +1,80 @@
-//! How far a router knows a listing of the store, and what it learns of it from other routers.
+//! Tracks up to which version a router knows a listing of the store, and what it learns about the
+//! listing from other routers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Freshness;
 
-/// What a router advertises of a listing.
+/// The state of a listing that a router advertises.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ListingAdvert {
-    /// The store's version at the last change that it knows.
+    /// The store's version at the last known change.
     pub changed_version: u64,
-    /// The time of the store's clock at which there was no later change.
+    /// Time of the store's clock at which there was no later change.
     pub proven_store_ms: Option<u64>,
-    /// The time of the store's clock at which it last served again after an outage. Entries that
-    /// lapsed meanwhile may still come back. A time, unlike a flag, may be passed on without end.
+    /// Time of the store's clock at which it last recovered from an outage. Entries that lapsed
+    /// during the outage may still be restored. Unlike a flag, a time can be forwarded any number
+    /// of times.
     pub recovered_store_ms: Option<u64>,
 }
 
-/// One listing as a router knows it.
+/// The state of one listing on a router.
 ///
-/// Few routers keep a watch open at the store. They advertise the version of the last change
-/// and when there was none later. Who has that change is as new as the watcher; who lacks it
-/// asks the store once. So the store's calls grow with changes, not with time and routers.
+/// Only a few routers, the watchers, keep a watch open at the store. They advertise the version of
+/// the last change and a time at which there was no later one. A router that has that change is as
+/// up to date as the watcher; a router that lacks it asks the store once. So the number of store
+/// calls grows with the number of changes, not with time and the number of routers.
 #[derive(Clone, Debug, Default)]
 pub struct WatchState {
     freshness: Freshness,
     version: Option<u64>,
     advert: ListingAdvert,
-    /// The version of the last change that another router advertised.
+    /// Version of the last change that another router advertised.
     advertised_version: u64,
-    /// Since when a change is advertised that is not known here.
+    /// Since when an advertised change has been missing here.
     behind_since_ms: Option<u64>,
-    /// Since when calls of this router fail.
+    /// Since when calls of this router have been failing.
     failing_since_ms: Option<u64>,
 }
 
-/// An answer of the store, as far as it tells how new a listing is.
+/// The parts of an answer of the store that tell how up to date a listing is.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchAnswer {
-    /// Whether records may have been removed without a sign of it in the answer, as in a whole listing.
+    /// Whether the answer may omit removals of records, as a whole listing does.
     pub may_hide_removals: bool,
-    /// When the call was sent.
+    /// Time at which the call was sent, in local milliseconds.
     pub sent_ms: u64,
-    /// When its answer came.
+    /// Time at which the answer arrived, in local milliseconds.
     pub received_ms: u64,
-    /// The version up to which all changes are known with it.
+    /// Version up to which all changes are known with this answer.
     pub version: u64,
-    /// The version of the last change in it, if it holds any.
+    /// Version of the last change in the answer, if it contains any.
     pub changed_version: Option<u64>,
-    /// The store's clock.
+    /// Time of the store's clock in milliseconds.
     pub store_now_ms: u64,
 }
 
 impl WatchState {
-    /// Notes that a call failed; true if the one before it did not.
+    /// Records that a call failed. Returns true if the previous one did not.
     pub fn note_failure(&mut self, sent_ms: u64) -> bool {
         let is_first = self.failing_since_ms.is_none();
         self.failing_since_ms.get_or_insert(sent_ms);
         is_first
     }
 
-    /// Maps the store's clock to the local one by an answer about another listing.
+    /// Updates the mapping of the store's clock with an answer about another listing.
     pub fn note_clock(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) {
         self.freshness
             .note_clock(sent_ms, received_ms, store_now_ms);
-        // A proof that came before the clock was known counts from now on.
+        // A proof that arrived before the clock was known counts from now on.
         if let Some(store_ms) = self.advert.proven_store_ms {
             self.freshness.note_proof(store_ms, received_ms);
         }
     }
 
-    /// Notes an answer of the store. Returns how long the store had been away: as long as calls
-    /// failed, but not at all if it gave another router a proof in that time. Then it was there,
-    /// and what is missing from it is gone.
+    /// Records an answer of the store. Returns how long the store was unavailable, in milliseconds:
+    /// for as long as calls failed, but 0 if another router got a proof from the store in that
+    /// time. Then the store was available, and entries missing from it are gone.
     pub fn note_answer(&mut self, answer: &WatchAnswer) -> u64 {
         let received_ms = answer.received_ms;
         let age_ms = self.age_ms(received_ms).unwrap_or(received_ms);
@@ -82,25 +85,25 @@
         self.freshness
             .note_answer(sent_ms, received_ms, answer.store_now_ms);
         self.version = Some(answer.version);
-        // Any version up to it may be that of a removal.
+        // A removal may have any version up to the answer's.
         let changed = match answer.may_hide_removals {
             true => answer.version,
             false => answer.changed_version.unwrap_or(0),
         };
         self.advert.changed_version = self.advert.changed_version.max(changed);
         self.advert.proven_store_ms = Some(answer.store_now_ms);
-        self.note_behind(received_ms);
+        self.update_behind(received_ms);
         away_since_ms.map_or(0, |since| received_ms.saturating_sub(since))
     }
 
-    /// Takes in what another router advertises; true if there is a change that is missing here.
+    /// Records what another router advertises. Returns true if a change is missing here.
     pub fn note_advert(&mut self, advert: &ListingAdvert, now_ms: u64) -> bool {
         self.advert.recovered_store_ms = self
             .advert
             .recovered_store_ms
             .max(advert.recovered_store_ms);
         self.advertised_version = self.advertised_version.max(advert.changed_version);
-        self.note_behind(now_ms);
+        self.update_behind(now_ms);
         let Some(version) = self.version else {
             return advert.proven_store_ms.is_some();
         };
@@ -109,7 +112,7 @@
         }
         if let Some(store_ms) = advert.proven_store_ms {
             self.freshness.note_proof(store_ms, now_ms);
-            // A proof holds only together with the change that it was given for.
+            // A proof is valid only together with the change that it refers to.
             let changed = advert.changed_version;
             self.advert.changed_version = self.advert.changed_version.max(changed);
             let known = self.advert.proven_store_ms;
@@ -118,9 +121,9 @@
         false
     }
 
-    /// Takes in that another router passes on all changes after one version up to another; true
-    /// if they are advert here and nothing is missing before them. They are to be applied at once:
-    /// older ones that are applied after newer ones would bring back servers that are gone.
+    /// Records that another router sends all changes between two versions. Returns true if they are
+    /// new here and nothing is missing before them. The caller must apply them at once: older
+    /// changes applied after newer ones would restore servers that are gone.
     pub fn note_changes(&mut self, after: u64, version: u64, now_ms: u64) -> bool {
         let Some(known) = self.version else {
             return false;
@@ -130,12 +133,12 @@
         }
         self.version = Some(version);
         self.advert.changed_version = self.advert.changed_version.max(version);
-        self.note_behind(now_ms);
+        self.update_behind(now_ms);
         true
     }
 
-    /// Takes in a whole listing of another router; true if it is newer than what is known here.
-    /// It is to be applied at once, like changes.
+    /// Records a whole listing of another router. Returns true if it is newer than the local one.
+    /// The caller must apply it at once, like changes.
     pub fn note_snapshot(&mut self, version: u64, advert: &ListingAdvert, now_ms: u64) -> bool {
         if self.version.is_some_and(|known| known >= version) {
             return false;
@@ -145,12 +148,12 @@
         true
     }
 
-    /// Notes that the store serves again after an outage, at a time of its clock.
+    /// Records that the store recovered from an outage at a time of its clock.
     pub fn note_recovery(&mut self, store_ms: u64) {
         self.advert.recovered_store_ms = self.advert.recovered_store_ms.max(Some(store_ms));
     }
 
-    /// Notes that this router's last answer ended an outage of the store.
+    /// Records that this router's last answer ended an outage of the store.
     pub fn note_own_recovery(&mut self) {
         self.advert.recovered_store_ms = self
             .advert
@@ -158,84 +161,86 @@
             .max(self.advert.proven_store_ms);
     }
 
-    /// When the store last served again after an outage, by any router's word.
+    /// Returns the local time at which the store last recovered from an outage, as reported by any
+    /// router.
     pub fn recovered_ms(&self) -> Option<u64> {
         self.freshness.to_local_ms(self.advert.recovered_store_ms?)
     }
 
-    /// Since when calls of this router fail.
+    /// Returns since when calls of this router have been failing.
     pub fn failing_since_ms(&self) -> Option<u64> {
         self.failing_since_ms
     }
 
-    /// The version of the last change that is known here; there is none between it and the
-    /// version of the watch.
+    /// Returns the version of the last known change; there is none between it and the version of
+    /// the watch.
     pub fn changed_version(&self) -> u64 {
         self.advert.changed_version
     }
 
-    /// The version that another router must have to be of use here.
+    /// Returns the minimum version of a listing that is of use here.
     pub fn wanted_version(&self) -> u64 {
-        match self.knows_any() {
+        match self.has_listing() {
             true => self.advertised_version,
             false => 0,
         }
     }
 
-    /// Whether it was ever known here, if not up to which version.
-    fn knows_any(&self) -> bool {
+    /// Returns whether the listing was ever known here, even if its current version is not.
+    fn has_listing(&self) -> bool {
         self.version.is_some() || self.advert.changed_version > 0
     }
 
-    /// Forgets how far it is known: it will be listed anew.
+    /// Clears the version, so that the listing is read from scratch.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
 
-    /// The version from which a watch goes on.
+    /// Returns the version from which a watch continues.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Whether another router advertised a change that is not known here.
+    /// Returns whether another router advertised a change that is missing here.
     pub fn is_behind(&self) -> bool {
         self.version
             .is_some_and(|version| self.advertised_version > version)
     }
 
-    /// How long a router that learns of a change after an outage of the store has to read it: it served on
-    /// by what it knew until then, and all others learn of it in the same moment.
-    const READ_MS: u64 = 500;
+    /// Time in milliseconds that a router has to read a change that it learns of after an outage of
+    /// the store. It kept serving with its old state until then, and all other routers learn of the
+    /// change at the same moment.
+    const CATCH_UP_MS: u64 = 500;
 
-    /// Whether what is known here may decide about something that happened at a time: nothing newer is
-    /// known to exist, or this was the newest less than `bound_ms` before.
+    /// Returns whether the local state may be used to decide about an event at `at_ms`: either
+    /// nothing newer is known to exist, or the state was the newest less than `bound_ms` before.
     ///
-    /// While nobody reaches the store nothing newer is known, and what is known here stays usable.
+    /// While no router reaches the store nothing newer is known, so the local state stays usable.
     pub fn is_usable(&self, at_ms: u64, bound_ms: u64) -> bool {
         let Some(since_ms) = self.behind_since_ms else {
             return true;
         };
-        at_ms < since_ms + Self::READ_MS
+        at_ms < since_ms + Self::CATCH_UP_MS
             || self.age_ms(at_ms).is_some_and(|age_ms| age_ms < bound_ms)
     }
 
-    fn note_behind(&mut self, now_ms: u64) {
+    fn update_behind(&mut self, now_ms: u64) {
         let known = self.version.unwrap_or(self.advert.changed_version);
         let is_behind = self.advertised_version > known;
         self.behind_since_ms = is_behind.then(|| self.behind_since_ms.unwrap_or(now_ms));
     }
 
-    /// Since when a change is advertised that is not known here.
+    /// Returns since when an advertised change has been missing here.
     pub fn behind_since_ms(&self) -> Option<u64> {
         self.behind_since_ms
     }
 
-    /// What to advertise.
+    /// Returns the state to advertise.
     pub fn advert(&self) -> ListingAdvert {
         self.advert
     }
 
-    /// How long ago it was the newest for sure.
+    /// Returns the time since the listing was last known to be the newest, in milliseconds.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.freshness.age_ms(now_ms)
     }
