--- a/crates/sapphiretrack-routing/src/discovery.rs
+++ b/crates/sapphiretrack-routing/src/discovery.rs
@@ -1,25 +1,25 @@
-//! Which of many routers one caller is offered.
+//! Chooses which routers are offered to a caller.
 
 use std::net::SocketAddr;
 
-/// A random sample of at most `most` addresses, so that in a large availability zone each router
-/// gets its share of the callers. `draw` gives random numbers below 1.
+/// Returns a random sample of at most `max_count` addresses, so that the callers are spread over
+/// all routers of a large availability zone. `draw` returns random numbers below 1.
 pub fn sample_addresses<Draw>(
     mut addresses: Vec<SocketAddr>,
-    most: usize,
+    max_count: usize,
     mut draw: Draw,
 ) -> Vec<SocketAddr>
 where
     Draw: FnMut() -> f64,
 {
-    if addresses.len() <= most {
+    if addresses.len() <= max_count {
         return addresses;
     }
-    for place in 0..most {
-        let left = addresses.len() - place;
-        let index = (draw().clamp(0.0, 1.0) * left as f64) as usize;
-        addresses.swap(place, place + index.min(left - 1));
+    for position in 0..max_count {
+        let remaining = addresses.len() - position;
+        let index = (draw().clamp(0.0, 1.0) * remaining as f64) as usize;
+        addresses.swap(position, position + index.min(remaining - 1));
     }
-    addresses.truncate(most);
+    addresses.truncate(max_count);
     addresses
 }
--- a/crates/sapphiretrack-routing/src/lib.rs
+++ b/crates/sapphiretrack-routing/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions on opaque requests as pure code: time and random numbers are passed in.
+//! Routing decisions on opaque requests as pure code: time and random numbers are passed in.
 
 mod broadcast;
 mod change_log;
@@ -41,7 +41,7 @@
 pub use listing_readers::{ListingReader, ListingReaders};
 pub use listing_source::{ListingNeed, ListingSource, ListingStep, ListingView};
 pub use load_digest::{
-    Collected, LoadCollector, LoadDigest, LoadEntry, LoadReport, LoadReporter, LoadsByServer,
+    CollectedLoads, LoadCollector, LoadDigest, LoadEntry, LoadReport, LoadReporter, LoadsByServer,
     ZoneLoads, router_tag,
 };
 pub use log_sampling::LogSampling;
--- a/crates/sapphiretrack-routing/src/load_digest.rs
+++ b/crates/sapphiretrack-routing/src/load_digest.rs
@@ -1,8 +1,8 @@
-//! The load of a whole fleet by server, added up by a few routers of each availability zone.
+//! The load of the whole fleet by server, aggregated by a few routers of each availability zone.
 //!
 //! Every router reports its own load to two collectors of its zone. Collectors exchange the sums of
-//! their zones and send the total back. Who collects is not agreed on: a router collects while it is
-//! reported to. All of it is soft state that the next reports restore.
+//! their zones and send the total back. There is no agreement on the collectors: a router acts as
+//! one while it receives reports. All of this is soft state that the next reports restore.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 
 use crate::{Incarnation, ServerLoad};
 
-/// The load on one server, in a form that takes few bytes.
+/// The load on one server, in a compact encoding.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadEntry {
     /// The server, see [`Incarnation::tag`].
     pub server: u32,
-    /// Requests there.
+    /// Requests in flight.
     pub in_flight: u16,
-    /// Prompt tokens that it has yet to read for them, in units of 64.
+    /// Prompt tokens that the server still has to process for them, in units of 64.
     pub prefill_units: u16,
 }
 
@@ -48,22 +48,22 @@
     }
 }
 
-/// What a router reports to its collectors.
+/// A router's report to its collectors.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// The router's name.
+    /// Name of the router.
     pub name: String,
-    /// Tells its runs apart.
+    /// Distinguishes the runs of the router.
     pub incarnation: u64,
-    /// Rises with each report of a run.
+    /// Increases with each report of a run.
     pub sequence: u64,
-    /// Where the digest is to be sent; none if another collector sends it.
+    /// Address to which the digest is sent; `None` if another collector sends it.
     pub reply_to: Option<SocketAddr>,
     /// The load that the router puts on servers.
     pub loads: Vec<LoadEntry>,
 }
 
-/// What a collector sends to the others.
+/// The sums of a zone that a collector sends to the collectors of other zones.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ZoneLoads {
     /// The collector's availability zone.
@@ -72,73 +72,70 @@
     pub collector: SocketAddr,
     /// Routers that report to it, see [`router_tag`].
     pub live: Vec<u32>,
-    /// Routers that did so and fell silent.
+    /// Routers that used to report to it and fell silent.
     pub silent: Vec<u32>,
     /// The sums by server.
     pub loads: Vec<LoadEntry>,
 }
 
-/// What a collector sends to the routers that report to it.
+/// The totals that a collector sends to the routers that report to it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LoadDigest {
-    /// The routers of all availability zones that fell silent, see [`router_tag`].
+    /// Routers of all availability zones that fell silent, see [`router_tag`].
     pub silent: Vec<u32>,
     /// The sums by server.
     pub loads: Vec<LoadEntry>,
 }
 
-/// A router's name in a form that takes few bytes.
+/// Returns a short tag of a router's name, for compact messages.
 pub fn router_tag(name: &str) -> u32 {
     RouterId::from_name(name).0 as u32
 }
 
-/// A longer time between two actions means that this router itself stood still.
-const PAUSE_MS: u64 = 350;
+/// A longer gap between two actions, in milliseconds, means that this router itself was suspended.
+const MAX_GAP_MS: u64 = 350;
 
-/// Loads by [`Incarnation::tag`]: requests and unread prompt tokens.
+/// Requests in flight and unprocessed prompt tokens by [`Incarnation::tag`].
 pub type LoadsByServer = HashMap<u32, (u32, u64)>;
 
-/// A router's part: to whom it reports, and what it learns.
+/// The reporting side: chooses the collectors and keeps the digest received from them.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReporter {
-    /// Since when reports to the first collector have had no answer.
+    /// The first collector, and since when it has not answered reports.
     unanswered: Option<(SocketAddr, u64)>,
     reported_ms: u64,
-    /// Collectors that did not answer, and until when they are passed over.
-    passed_over: HashMap<SocketAddr, u64>,
+    /// Collectors that did not answer, and until when they are skipped.
+    skipped: HashMap<SocketAddr, u64>,
     reported: Vec<LoadEntry>,
     digest: Option<(LoadsByServer, u64)>,
 }
 
 impl LoadReporter {
-    /// Collectors that a router reports to: the loss of one costs no report.
-    const COLLECTORS: usize = 2;
-    /// How long a collector may leave reports unanswered.
+    /// Number of collectors that a router reports to, so that the loss of one costs no report.
+    const COLLECTOR_COUNT: usize = 2;
+    /// Time after which a collector that does not answer reports counts as silent, in milliseconds.
     const SILENT_MS: u64 = 600;
-    /// How long a silent collector is passed over.
-    const PASS_OVER_MS: u64 = 5_000;
-    /// How long a digest counts.
+    /// Time for which a silent collector is skipped, in milliseconds.
+    const SKIP_MS: u64 = 5_000;
+    /// Time for which a digest is valid, in milliseconds.
     const DIGEST_MS: u64 = 1_000;
 
-    /// Whom to report to, of the routers of the zone in the order that all of them agree on. The
-    /// first one is to send the digest.
+    /// Returns the collectors to report to, from the routers of the zone in the order that all of
+    /// them agree on. The first one is asked for the digest.
     pub fn collectors(&mut self, ranked: &[SocketAddr], now_ms: u64) -> Vec<SocketAddr> {
-        if now_ms >= self.reported_ms + PAUSE_MS {
+        if now_ms >= self.reported_ms + MAX_GAP_MS {
             self.unanswered = None;
         }
         self.reported_ms = now_ms;
         if let Some((collector, since_ms)) = self.unanswered
             && now_ms >= since_ms + Self::SILENT_MS
         {
-            self.passed_over
-                .insert(collector, now_ms + Self::PASS_OVER_MS);
+            self.skipped.insert(collector, now_ms + Self::SKIP_MS);
             self.unanswered = None;
         }
-        self.passed_over.retain(|_, until_ms| now_ms < *until_ms);
-        let answering = ranked
-            .iter()
-            .filter(|one| !self.passed_over.contains_key(one));
-        let chosen: Vec<SocketAddr> = answering.take(Self::COLLECTORS).copied().collect();
+        self.skipped.retain(|_, until_ms| now_ms < *until_ms);
+        let answering = ranked.iter().filter(|one| !self.skipped.contains_key(one));
+        let chosen: Vec<SocketAddr> = answering.take(Self::COLLECTOR_COUNT).copied().collect();
         if let Some(first) = chosen.first()
             && self.unanswered.is_none_or(|(known, _)| known != *first)
         {
@@ -147,12 +144,12 @@
         chosen
     }
 
-    /// Notes what was reported: a digest holds it too.
+    /// Records the reported loads, which the digest will include.
     pub fn note_report(&mut self, loads: &[LoadEntry]) {
         self.reported = loads.to_vec();
     }
 
-    /// Takes in a digest.
+    /// Applies a digest, without this router's own last report.
     pub fn note_digest(&mut self, from: SocketAddr, loads: &[LoadEntry], now_ms: u64) {
         if let Some((collector, since_ms)) = &mut self.unanswered
             && *collector == from
@@ -173,52 +170,54 @@
         self.digest = Some((sums, now_ms));
     }
 
-    /// The load of all other routers, if a digest came lately.
+    /// Returns the load of all other routers; `None` if there is no recent digest.
     pub fn loads(&self, now_ms: u64) -> Option<&LoadsByServer> {
-        let (loads, told_ms) = self.digest.as_ref()?;
-        (now_ms < told_ms + Self::DIGEST_MS).then_some(loads)
+        let (loads, received_ms) = self.digest.as_ref()?;
+        (now_ms < received_ms + Self::DIGEST_MS).then_some(loads)
     }
 }
 
-/// What a collector has to send.
+/// The messages that a collector sends.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Collected {
+pub struct CollectedLoads {
     /// The sums of its own availability zone, for the other collectors.
     pub zone: ZoneLoads,
-    /// Where they go, beside the routers that rank first in their zones.
+    /// Known collectors that receive these sums, besides the routers that rank first in their
+    /// zones.
     pub collectors: Vec<SocketAddr>,
-    /// The sums of all zones, for those that reported.
+    /// The sums of all zones, for the routers that reported.
     pub digest: LoadDigest,
-    /// Where it goes; empty between two digests.
+    /// Recipients of the digest; empty while no digest is due.
     pub reporters: Vec<SocketAddr>,
 }
 
-/// A collector's part, which any router may be called to.
+/// The collecting side. Any router can become a collector.
 #[derive(Clone, Debug, Default)]
 pub struct LoadCollector {
     reports: BTreeMap<String, (LoadReport, u64)>,
-    /// By availability zone and collector.
+    /// Keyed by availability zone and collector.
     zones: BTreeMap<(String, SocketAddr), (ZoneLoads, u64)>,
-    /// Routers whose reports ended, and when.
+    /// Routers whose reports ended, and when they last reported.
     lost: BTreeMap<String, u64>,
     collected_ms: u64,
     next_digest_ms: u64,
 }
 
 impl LoadCollector {
-    /// How long a report or the sums of a zone count.
+    /// Time for which a report or the sums of a zone are valid, in milliseconds.
     const KEEP_MS: u64 = 1_000;
-    /// How long a router may leave out reports until it counts as silent.
+    /// Time without reports after which a router counts as silent, in milliseconds.
     const SILENT_MS: u64 = 600;
-    /// How long a silent router is named: by then they lack its heartbeats, too.
+    /// Time for which a silent router is listed, in milliseconds. By its end the other routers miss
+    /// its heartbeats, too.
     const LOST_MS: u64 = 10_000;
-    /// The time between two digests of a usual size.
+    /// Interval between two digests of the usual size, in milliseconds.
     const DIGEST_MS: u64 = 200;
-    /// Bytes that a router receives in digests a second: larger ones are sent less often.
+    /// Maximum rate of digest bytes to one router: larger digests are sent less often.
     const DIGEST_BYTES_PER_S: u64 = 10_000;
     const ENTRY_BYTES: u64 = 8;
 
-    /// Takes in a report.
+    /// Records a report unless a newer one is known.
     pub fn note_report(&mut self, report: LoadReport, now_ms: u64) {
         let known = self.reports.get(&report.name);
         let is_older = known.is_some_and(|(known, received_ms)| {
@@ -231,21 +230,21 @@
         }
     }
 
-    /// Takes in the sums of another zone.
+    /// Records the sums of another zone, or of another collector of this one.
     pub fn note_zone(&mut self, zone: ZoneLoads, now_ms: u64) {
         let key = (zone.zone.clone(), zone.collector);
         self.zones.insert(key, (zone, now_ms));
     }
 
-    /// Adds up what to send; none while nobody reports to this router.
-    pub fn collect(&mut self, zone: &str, own: SocketAddr, now_ms: u64) -> Option<Collected> {
-        if now_ms >= self.collected_ms + PAUSE_MS {
-            // What was received before says nothing about who is silent now.
+    /// Computes the messages to send; `None` while no router reports to this one.
+    pub fn collect(&mut self, zone: &str, own: SocketAddr, now_ms: u64) -> Option<CollectedLoads> {
+        if now_ms >= self.collected_ms + MAX_GAP_MS {
+            // After a pause of its own, earlier reports do not show who is silent now.
             self.reports.clear();
             self.lost.clear();
         }
         self.collected_ms = now_ms;
-        self.forget_old(now_ms);
+        self.remove_expired(now_ms);
         if self.reports.is_empty() {
             return None;
         }
@@ -257,7 +256,7 @@
             silent: self.silent(now_ms),
             loads: sum(reports.flat_map(|(report, _)| &report.loads)),
         };
-        // Collectors of one zone may know of different routers: the sum of most of them counts.
+        // Collectors of one zone may know different routers: use the sums that cover the most.
         let mut best: BTreeMap<&str, &ZoneLoads> = BTreeMap::from([(zone, &own)]);
         for ((name, _), (loads, _)) in &self.zones {
             let known = best.entry(name).or_insert(loads);
@@ -266,7 +265,7 @@
             }
         }
         let loads = sum(best.values().flat_map(|loads| &loads.loads));
-        // A router may have left only one of its collectors.
+        // A router may have stopped reporting to only one of its collectors.
         let received = self.zones.values().map(|(one, _)| one);
         let all: Vec<&ZoneLoads> = received.chain([&own]).collect();
         let live: HashSet<u32> = all.iter().flat_map(|one| &one.live).copied().collect();
@@ -282,7 +281,7 @@
         let reporters = self.reports.values().filter(|_| is_due);
         let reporters = reporters.filter_map(|(report, _)| report.reply_to);
         let collectors: HashSet<SocketAddr> = self.zones.keys().map(|(_, one)| *one).collect();
-        Some(Collected {
+        Some(CollectedLoads {
             collectors: collectors.into_iter().collect(),
             digest: LoadDigest { silent, loads },
             reporters: reporters.collect(),
@@ -290,7 +289,7 @@
         })
     }
 
-    fn forget_old(&mut self, now_ms: u64) {
+    fn remove_expired(&mut self, now_ms: u64) {
         let is_young = |received_ms: u64| now_ms < received_ms + Self::KEEP_MS;
         let reports = self.reports.iter();
         let ended = reports.filter(|(_, (_, at_ms))| !is_young(*at_ms));
@@ -305,14 +304,14 @@
         self.zones.retain(|_, (_, at_ms)| is_young(*at_ms));
     }
 
-    /// The routers that report to this one.
+    /// Tags of the routers that report to this one.
     fn live(&self, now_ms: u64) -> Vec<u32> {
         let live = self.reports.iter();
         let live = live.filter(|(_, (_, at_ms))| now_ms < *at_ms + Self::SILENT_MS);
         live.map(|(name, _)| router_tag(name)).collect()
     }
 
-    /// The routers that reported to this one and do not any more.
+    /// Tags of the routers that reported to this one and no longer do.
     fn silent(&self, now_ms: u64) -> Vec<u32> {
         let late = self.reports.iter();
         let late = late.filter(|(_, (_, at_ms))| now_ms >= *at_ms + Self::SILENT_MS);
--- a/crates/sapphiretrack-routing/src/log_sampling.rs
+++ b/crates/sapphiretrack-routing/src/log_sampling.rs
@@ -1,9 +1,10 @@
-//! Which requests are told in full in the log when there are too many for it.
+//! Decides which requests are logged in full under high load.
 
 use sapphiretrack_core::hash_parts;
 
-/// Keeps the log bounded: above a rate only a part of the requests is told in full, chosen by
-/// their id, so that all lines of one request are there or none. Failures are always told.
+/// Limits the size of the log: above a rate, only a part of the requests is logged in full. They
+/// are chosen by their id, so that either all lines of a request are logged or none. Failures are
+/// always logged.
 #[derive(Clone, Debug)]
 pub struct LogSampling {
     full_per_s: u32,
@@ -13,7 +14,7 @@
 }
 
 impl LogSampling {
-    /// Tells up to so many requests a second in full.
+    /// Creates a sampling that logs up to this many requests per second in full.
     pub fn new(full_per_s: u32) -> Self {
         Self {
             full_per_s: full_per_s.max(1),
@@ -23,22 +24,22 @@
         }
     }
 
-    /// Counts a request; whether it is told in full. The share follows the rate of the second
-    /// before, and falls within a second that is much busier.
+    /// Counts a request and returns whether it is logged in full. The share follows the rate of the
+    /// previous second, and falls within a second that is much busier.
     pub fn keeps(&mut self, id: &str, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if second != self.second {
             let idle = second > self.second + 1;
-            self.keep_one_in = if idle { 1 } else { self.share() };
+            self.keep_one_in = if idle { 1 } else { self.required_one_in() };
             self.second = second;
             self.count = 0;
         }
         self.count += 1;
-        let one_in = self.keep_one_in.max(self.share());
+        let one_in = self.keep_one_in.max(self.required_one_in());
         hash_parts(&[id.as_bytes()]).is_multiple_of(u64::from(one_in))
     }
 
-    fn share(&self) -> u32 {
+    fn required_one_in(&self) -> u32 {
         self.count.div_ceil(self.full_per_s).next_power_of_two()
     }
 }
--- a/crates/sapphiretrack-routing/src/peers.rs
+++ b/crates/sapphiretrack-routing/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other routers, as their heartbeats show them.
+//! Tracks the other routers by their heartbeats.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -17,43 +17,43 @@
 pub enum RouterState {
     /// It is not ready yet, or not any more.
     NotReady,
-    /// It takes callers.
+    /// It accepts callers.
     Ready,
-    /// It is on a planned stop; for its incarnation this is final.
+    /// It is on a planned stop; final for its incarnation.
     Leaving,
 }
 
 /// The load that a router puts on one server.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServerLoad {
-    /// The server's incarnation.
+    /// Incarnation of the server.
     pub server: u64,
-    /// Requests that the router has there.
+    /// Requests that the router has in flight there.
     pub in_flight: u16,
-    /// Prompt tokens that the server has yet to read for them.
+    /// Prompt tokens that the server still has to process for them.
     pub prefill_tokens: u32,
 }
 
-/// What a router sends to the others several times a second.
+/// The state that a router sends to the others several times a second.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Tells its runs apart: when the run began, by the time of day.
+    /// Distinguishes the runs of the router: the wall-clock time at which the run began.
     pub incarnation: u64,
-    /// Rises with each heartbeat of a run.
+    /// Increases with each heartbeat of a run.
     pub sequence: u64,
     /// Its availability zone.
     pub zone: String,
-    /// The processor time that its VM gives it, in thousandths of a core.
+    /// Processor time that its VM provides, in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where it receives messages.
+    /// Address for messages of other routers.
     pub peer_address: SocketAddr,
     /// Whether callers may be sent to it.
     pub state: RouterState,
-    /// The load it puts on servers, without those where it has none.
+    /// The load it puts on servers; servers without any are omitted.
     pub loads: Vec<ServerLoad>,
     /// Whether it knows which servers hold which prompt prefixes.
     pub knows_prefixes: bool,
@@ -61,109 +61,110 @@
     pub sent: SentPrompts,
     /// Whether its own calls to the store fail.
     pub is_store_failing: bool,
-    /// What it knows of the configuration.
+    /// State of its configuration.
     pub configuration: ListingAdvert,
-    /// What it knows of the backend servers.
+    /// State of its list of backend servers.
     pub servers: ListingAdvert,
 }
 
 /// A datagram between routers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RouterMessage {
-    /// The regular one.
+    /// The periodic state of the sender.
     Heartbeat(Box<Heartbeat>),
-    /// Asks for all prompt prefixes that the other router knows.
+    /// A request for all prompt prefixes that the receiver knows.
     AskPrefixes {
-        /// Where to send them.
+        /// Address to which they are sent.
         reply_to: SocketAddr,
     },
-    /// Some of the prefixes that were asked for.
+    /// Some of the requested prefixes.
     Prefixes(Vec<SentPrefix>),
-    /// How far the sender knows the store's listings; small, so that it may go to all at once.
+    /// How up to date the sender's listings are. Small enough to be sent to all routers at once.
     Listings {
-        /// The sender's name.
+        /// Name of the sender.
         name: String,
-        /// What it knows of the configuration.
+        /// State of the sender's configuration.
         configuration: ListingAdvert,
-        /// What it knows of the backend servers.
+        /// State of the sender's list of backend servers.
         servers: ListingAdvert,
     },
     /// A router's load, for a collector of its availability zone.
     LoadReport(LoadReport),
-    /// The load of a collector's availability zone, for those of the others.
+    /// The load of one availability zone, for the collectors of the others.
     ZoneLoads(ZoneLoads),
     /// The load of all routers, for one that reported its own.
     LoadDigest(LoadDigest),
-    /// Another message, encoded, that the receiver passes on within its availability zone.
+    /// Another encoded message, which the receiver forwards within its availability zone.
     Relay(Vec<u8>),
     /// Changes of the backend servers, as the store listed them.
     Servers {
         /// The changes, or a fragment of them.
         fragment: ChangesFragment,
-        /// How far the sender knows the backend servers.
+        /// How up to date the sender's list of backend servers is.
         advert: ListingAdvert,
     },
-    /// Evidence against requests that crash servers.
+    /// Records of requests that crash servers.
     Crashes {
-        /// Some of what the sender knows.
+        /// Some of the records that the sender knows.
         records: Vec<CrashRecord>,
-        /// The digest of all that it would send.
+        /// Digest of all records that the sender would send.
         digest: u64,
-        /// Whether it asks for nothing; else who knows something else answers.
+        /// Whether no answer is requested. Otherwise a receiver with a different digest answers.
         is_final: bool,
     },
-    /// First crashes under requests, for the stewards of these requests.
+    /// Records of first crashes, for the routers that keep the records of these requests.
     CrashReports(Vec<CrashRecord>),
 }
 
 /// All changes of the backend servers between two versions of the store.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServerChanges {
-    /// They come after this version.
+    /// Version that the changes apply to.
     pub after: u64,
-    /// They go up to this version.
+    /// Version that results from them.
     pub version: u64,
-    /// The changes in their order.
+    /// The changes in order.
     pub changes: Vec<ServerChange>,
 }
 
-/// The routers that sent heartbeats.
+/// The routers that sent heartbeats, and those that the store lists.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<String, Peer>,
-    /// Routers that the store lists and that have not sent a heartbeat, and when they were listed.
+    /// Routers that the store lists and that have not sent a heartbeat yet, and when they were
+    /// listed.
     listed: BTreeMap<String, (ListedRouter, u64)>,
-    /// Routers that collectors know to be silent, and until when that counts.
+    /// Tags of the routers that collectors report as silent, valid until `silent_until_ms`.
     silent: HashSet<u32>,
     silent_until_ms: u64,
     heartbeat_interval_ms: u64,
 }
 
-/// A router as the store lists it.
+/// A router as listed by the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedRouter {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it receives messages.
+    /// Address for messages of other routers.
     pub address: SocketAddr,
-    /// Its availability zone, if the row holds it.
+    /// Its availability zone, if the row contains it.
     pub zone: Option<String>,
-    /// The processor time that its VM gives it, in thousandths of a core.
+    /// Processor time that its VM provides, in thousandths of a core.
     pub cpu_millicores: Option<u32>,
 }
 
-/// What decides a router's rank before its id does.
+/// The criteria that rank routers before their ids do.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RankKey {
     /// Whether its own calls to the store fail.
     pub is_store_failing: bool,
-    /// The processor time that its VM gives it, in thousandths of a core.
+    /// Processor time that its VM provides, in thousandths of a core.
     pub cpu_millicores: u32,
 }
 
 impl RankKey {
-    /// Sorts before others: the store is reached, then the larger VM. VMs of about the same size
-    /// count as equal.
+    /// Returns the sort key of a router: routers that reach the store come first, then those on
+    /// larger VMs. VMs of the same power-of-two size class count as equal.
     fn order(self, name: &str) -> (bool, Reverse<u32>, RouterId) {
         let size = self.cpu_millicores.max(1).ilog2();
         (
@@ -174,10 +175,10 @@
     }
 }
 
-/// Who may be asked for a listing.
+/// A router that can be asked for a listing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Holder {
-    /// Where it receives messages and serves listings.
+    /// Address for messages and listings.
     pub address: SocketAddr,
     /// Whether it is in the own availability zone.
     pub is_near: bool,
@@ -190,50 +191,56 @@
 }
 
 impl PeerTable {
-    /// Sets how long it takes until each router has had a heartbeat of each other one.
+    /// Sets the time until every router has received a heartbeat of every other one, in
+    /// milliseconds.
     pub fn set_heartbeat_interval(&mut self, interval_ms: u64) {
         self.heartbeat_interval_ms = interval_ms;
     }
 
-    /// How long it takes until each router has had a heartbeat of each other one.
+    /// Returns the time until every router has received a heartbeat of every other one, in
+    /// milliseconds.
     pub fn heartbeat_interval_ms(&self) -> u64 {
         self.heartbeat_interval_ms
     }
 
-    /// How long a silent router counts as live: one heartbeat may be lost. In a large fleet heartbeats come
-    /// seldom; with a fixed time each router would take the others for lost by turns.
-    fn alive_ms(&self) -> u64 {
-        Self::MIN_ALIVE_MS.max(self.heartbeat_interval_ms * 5 / 2)
+    /// Returns the time without heartbeats after which a router no longer counts as live, in
+    /// milliseconds. It allows for one lost heartbeat. It follows the interval, since heartbeats
+    /// are rare in a large fleet: with a fixed time routers would alternately take each other for
+    /// lost.
+    fn liveness_timeout_ms(&self) -> u64 {
+        Self::MIN_LIVENESS_TIMEOUT_MS.max(self.heartbeat_interval_ms * 5 / 2)
     }
 
-    /// Whether a router counts as live: its heartbeats come, and no collector misses its reports.
+    /// Returns whether a router counts as live: its heartbeats arrive, and no collector reports it
+    /// as silent.
     fn is_live(&self, peer: &Peer, now_ms: u64) -> bool {
         let is_silent = now_ms < self.silent_until_ms
             && !self.silent.is_empty()
             && self.silent.contains(&router_tag(&peer.heartbeat.name));
-        !is_silent && now_ms < peer.last_seen_ms + self.alive_ms()
+        !is_silent && now_ms < peer.last_seen_ms + self.liveness_timeout_ms()
     }
 
-    /// Takes in which routers the collectors miss.
+    /// Records the routers that the collectors report as silent.
     pub fn note_silent(&mut self, silent: &[u32], now_ms: u64) {
         self.silent = silent.iter().copied().collect();
-        self.silent_until_ms = now_ms + Self::SILENT_MS;
+        self.silent_until_ms = now_ms + Self::SILENT_VALID_MS;
     }
 
-    /// How long a collector's word about silent routers counts.
-    const SILENT_MS: u64 = 1_000;
-    /// How long a silent router is still offered to callers at least: four heartbeats of a small fleet,
-    /// so that single lost datagrams do not count.
-    const MIN_ALIVE_MS: u64 = 1_000;
-    /// How far a router's proof may be behind the newest: two watches of a second, with a margin
-    /// for one lost heartbeat.
-    const BEHIND_MS: u64 = 2_500;
-    /// How long the load of a silent router still counts, in a fleet whose heartbeats come in that time.
-    const LOAD_MS: u64 = 2_000;
-    /// How long a silent router counts as one that may exist.
-    const MAY_EXIST_MS: u64 = 30_000;
-
-    /// Whether a heartbeat is newer than all that were received from its router.
+    /// Time for which a report of silent routers is valid, in milliseconds.
+    const SILENT_VALID_MS: u64 = 1_000;
+    /// Minimum time for which a silent router is still offered to callers, in milliseconds: four
+    /// heartbeats of a small fleet, so that single lost datagrams do not count.
+    const MIN_LIVENESS_TIMEOUT_MS: u64 = 1_000;
+    /// How far a router's proof may lag behind the newest, in milliseconds: two watches of a
+    /// second, and a margin for one lost heartbeat.
+    const MAX_PROOF_LAG_MS: u64 = 2_500;
+    /// Minimum time for which the load of a silent router still counts, in milliseconds. Longer in
+    /// a fleet whose heartbeats are rarer.
+    const MIN_LOAD_VALID_MS: u64 = 2_000;
+    /// Time without heartbeats after which a router is removed, in milliseconds.
+    const FORGET_AFTER_MS: u64 = 30_000;
+
+    /// Returns whether a heartbeat is newer than all others received from its router.
     pub fn is_newer(&self, heartbeat: &Heartbeat, now_ms: u64) -> bool {
         let Some(peer) = self.peers.get(&heartbeat.name) else {
             return true;
@@ -241,15 +248,16 @@
         if heartbeat.incarnation == peer.heartbeat.incarnation {
             return heartbeat.sequence > peer.heartbeat.sequence;
         }
-        // The number of a run is its start by the time of day, which may step back between two
-        // runs: once the last run is silent, a run with a smaller number is a new one, too.
-        let was_silent = now_ms >= peer.last_seen_ms + self.alive_ms();
+        // Runs are numbered by the wall-clock time of their start, which may step back between two
+        // runs. Once the last run is silent, a run with a smaller number is a new one, too.
+        let was_silent = now_ms >= peer.last_seen_ms + self.liveness_timeout_ms();
         heartbeat.incarnation > peer.heartbeat.incarnation || was_silent
     }
 
-    /// Takes in a heartbeat; true if the router was not seen before, came back or changed state.
+    /// Records a heartbeat. Returns true if the router was not known before, came back or changed
+    /// state.
     pub fn note(&mut self, heartbeat: Heartbeat, now_ms: u64) -> bool {
-        let alive_ms = self.alive_ms();
+        let liveness_timeout_ms = self.liveness_timeout_ms();
         self.listed.remove(&heartbeat.name);
         if !self.is_newer(&heartbeat, now_ms) {
             return false;
@@ -267,7 +275,7 @@
             return true;
         };
         let same_run = heartbeat.incarnation == peer.heartbeat.incarnation;
-        let was_silent = now_ms >= peer.last_seen_ms + alive_ms;
+        let was_silent = now_ms >= peer.last_seen_ms + liveness_timeout_ms;
         let left = same_run && peer.heartbeat.state == RouterState::Leaving;
         let changed = !same_run || heartbeat.state != peer.heartbeat.state || was_silent;
         peer.last_seen_ms = now_ms;
@@ -278,7 +286,7 @@
         changed && !left
     }
 
-    /// Takes in how far a known router knows the store's listings.
+    /// Records how up to date the listings of a known router are.
     pub fn note_listings(
         &mut self,
         name: &str,
@@ -291,10 +299,10 @@
         }
     }
 
-    /// Forgets routers that cannot exist any more; their names.
+    /// Removes routers that have been silent for too long to still exist. Returns their names.
     pub fn forget_lost(&mut self, now_ms: u64) -> Vec<String> {
         let lost = self.peers.iter();
-        let lost = lost.filter(|(_, peer)| now_ms >= peer.last_seen_ms + Self::MAY_EXIST_MS);
+        let lost = lost.filter(|(_, peer)| now_ms >= peer.last_seen_ms + Self::FORGET_AFTER_MS);
         let lost: Vec<String> = lost.map(|(name, _)| name.clone()).collect();
         for name in &lost {
             self.peers.remove(name);
@@ -302,11 +310,11 @@
         lost
     }
 
-    /// The routers that callers may be sent to: availability zone and address. `own_proof` is the
-    /// store's time up to which this router knows the configuration.
+    /// Returns the availability zone and address of the routers that callers may be sent to.
+    /// `own_proof` is the store's time up to which this router knows the configuration.
     ///
-    /// A router that has fallen behind the others soon refuses keys: callers are kept away from
-    /// it before, unless all have fallen behind.
+    /// A router that has fallen behind the others will soon reject keys. Callers are kept away from
+    /// it before, unless all routers have fallen behind.
     pub fn ready(&self, own_proof: Option<u64>, now_ms: u64) -> Vec<(&str, SocketAddr)> {
         let live = self.peers.values().filter(|peer| {
             peer.heartbeat.state == RouterState::Ready && self.is_live(peer, now_ms)
@@ -320,7 +328,7 @@
         ready.collect()
     }
 
-    /// Whether this router has fallen behind the others.
+    /// Returns whether this router has fallen behind the others.
     pub fn is_own_behind(&self, own_proof: Option<u64>, now_ms: u64) -> bool {
         Self::is_behind(own_proof, self.newest_proof(now_ms).max(own_proof), 0)
     }
@@ -332,17 +340,17 @@
             .max()
     }
 
-    /// Whether a proof is behind the newest one. The router may have had later ones since its last
-    /// heartbeat, `age_ms` ago.
+    /// Returns whether a proof is too far behind the newest one. The router may have had later
+    /// proofs since its last heartbeat, `age_ms` ago.
     fn is_behind(proof: Option<u64>, newest: Option<u64>, age_ms: u64) -> bool {
         let Some(newest) = newest else {
             return false;
         };
-        proof.is_none_or(|proof| proof + Self::BEHIND_MS + age_ms < newest)
+        proof.is_none_or(|proof| proof + Self::MAX_PROOF_LAG_MS + age_ms < newest)
     }
 
-    /// Notes the routers that the store lists. Until they had time to send a heartbeat they count as
-    /// live, so that not every router of a starting fleet ranks first.
+    /// Records the routers that the store lists. They count as live until they have had time to
+    /// send a heartbeat, so that not every router of a starting fleet ranks first.
     pub fn note_listed<Routers>(&mut self, routers: Routers, now_ms: u64)
     where
         Routers: IntoIterator<Item = ListedRouter>,
@@ -354,10 +362,11 @@
         self.listed = unknown.collect();
     }
 
-    /// How many live routers come before this one in the order that all of them agree on.
+    /// Returns the number of live routers that rank before this one in the order that all routers
+    /// agree on.
     pub fn rank(&self, own_name: &str, own: RankKey, now_ms: u64) -> usize {
         let own_order = own.order(own_name);
-        let alive_ms = self.alive_ms();
+        let liveness_timeout_ms = self.liveness_timeout_ms();
         let live = self.peers.iter().filter(|(_, peer)| {
             peer.heartbeat.state != RouterState::Leaving && self.is_live(peer, now_ms)
         });
@@ -369,11 +378,11 @@
             key.order(name)
         });
         let listed = self.listed.values();
-        let listed = listed.filter(|(_, listed_ms)| now_ms < listed_ms + alive_ms);
+        let listed = listed.filter(|(_, listed_ms)| now_ms < listed_ms + liveness_timeout_ms);
         let listed = listed.map(|(router, _)| {
             let key = RankKey {
                 is_store_failing: false,
-                // Without a word of its own it counts as of this one's size.
+                // Until its size is known, it is assumed to equal this router's.
                 cpu_millicores: router.cpu_millicores.unwrap_or(own.cpu_millicores),
             };
             key.order(&router.name)
@@ -383,8 +392,8 @@
             .count()
     }
 
-    /// The routers of an availability zone that come first in the order that all of them agree
-    /// on, `own` among them if given.
+    /// Returns the first routers of an availability zone in the order that all routers agree on,
+    /// including `own` if given.
     pub fn first_of_zone(
         &self,
         zone: &str,
@@ -392,12 +401,12 @@
         count: usize,
         now_ms: u64,
     ) -> Vec<SocketAddr> {
-        let mates = self.peers.iter().filter(|(_, peer)| {
+        let zone_peers = self.peers.iter().filter(|(_, peer)| {
             peer.heartbeat.zone == zone
                 && peer.heartbeat.state != RouterState::Leaving
                 && self.is_live(peer, now_ms)
         });
-        let mates = mates.map(|(name, peer)| {
+        let zone_peers = zone_peers.map(|(name, peer)| {
             let key = RankKey {
                 is_store_failing: false,
                 cpu_millicores: peer.heartbeat.cpu_millicores,
@@ -405,14 +414,13 @@
             (key.order(name), peer.heartbeat.peer_address)
         });
         let own = own.map(|(name, key, address)| (key.order(name), address));
-        let mut ranked: Vec<_> = mates.chain(own).collect();
+        let mut ranked: Vec<_> = zone_peers.chain(own).collect();
         ranked.sort_unstable();
         ranked.truncate(count);
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// The live routers that come first for a key in an order that differs from key to key, `own` among
-    /// them.
+    /// Returns the live routers, including `own`, that rank first for a key by rendezvous hashing.
     pub fn stewards(
         &self,
         key: u64,
@@ -430,25 +438,26 @@
         first.into_iter().map(|(_, address)| *address).collect()
     }
 
-    /// The availability zones of the other routers.
+    /// Returns the availability zones of the other routers.
     pub fn zones(&self) -> BTreeSet<&str> {
         let peers = self.peers.values();
         peers.map(|peer| peer.heartbeat.zone.as_str()).collect()
     }
 
-    /// How many other routers are live.
+    /// Returns the number of other live routers.
     pub fn live(&self, now_ms: u64) -> usize {
         let peers = self.peers.values();
         peers.filter(|peer| self.is_live(peer, now_ms)).count()
     }
 
-    /// Whether any other router sent a heartbeat lately.
+    /// Returns whether any other router sent a heartbeat recently.
     pub fn is_connected(&self, now_ms: u64) -> bool {
         let mut peers = self.peers.values();
-        peers.any(|peer| now_ms < peer.last_seen_ms + Self::MIN_ALIVE_MS)
+        peers.any(|peer| now_ms < peer.last_seen_ms + Self::MIN_LIVENESS_TIMEOUT_MS)
     }
 
-    /// The live routers that know a listing up to a version, as `advert_of` reads it.
+    /// Returns the live routers that have a listing up to a version. `advert_of` selects the
+    /// listing.
     pub fn holders<AdvertOf>(
         &self,
         own_zone: &str,
@@ -472,8 +481,8 @@
         holders.collect()
     }
 
-    /// Where to ask for prompt prefixes: live routers that know them, of the own availability zone if
-    /// there are any.
+    /// Returns the addresses of live routers that know prompt prefixes: those of the own
+    /// availability zone if there are any, else all.
     pub fn prefix_sources(&self, own_zone: &str, now_ms: u64) -> Vec<SocketAddr> {
         let live = self.peers.values();
         let sources =
@@ -487,15 +496,15 @@
             .collect()
     }
 
-    /// How many other routers may exist.
+    /// Returns the number of other routers that may still exist, live or not.
     pub fn may_exist(&self) -> usize {
         self.peers.len()
     }
 
-    /// Where messages go: the routers that sent heartbeats, live or not, and those that the store
-    /// lists besides.
+    /// Returns the recipients of messages: the routers that sent heartbeats, live or not, and the
+    /// others that the store lists.
     pub fn recipients(&self, now_ms: u64) -> Vec<Recipient<'_>> {
-        let recent_ms = Self::MIN_ALIVE_MS.max(self.heartbeat_interval_ms * 3 / 2);
+        let recent_ms = Self::MIN_LIVENESS_TIMEOUT_MS.max(self.heartbeat_interval_ms * 3 / 2);
         let peers = self.peers.values().map(|peer| Recipient {
             address: peer.heartbeat.peer_address,
             zone: Some(&peer.heartbeat.zone),
@@ -511,12 +520,12 @@
         peers.chain(listed).collect()
     }
 
-    /// The load of all other routers by server.
+    /// Returns the load of all other routers by server.
     pub fn loads(&self, now_ms: u64) -> LoadsByServer {
         let mut sums = LoadsByServer::new();
         let alive = self.peers.values();
-        let load_ms = Self::LOAD_MS.max(self.heartbeat_interval_ms * 5 / 4);
-        let alive = alive.filter(|peer| now_ms < peer.last_seen_ms + load_ms);
+        let load_valid_ms = Self::MIN_LOAD_VALID_MS.max(self.heartbeat_interval_ms * 5 / 4);
+        let alive = alive.filter(|peer| now_ms < peer.last_seen_ms + load_valid_ms);
         for load in alive.flat_map(|peer| &peer.heartbeat.loads) {
             let sum = sums.entry(Incarnation(load.server).tag()).or_default();
             sum.0 += u32::from(load.in_flight);
--- a/crates/sapphiretrack-routing/src/retry_share.rs
+++ b/crates/sapphiretrack-routing/src/retry_share.rs
@@ -1,17 +1,18 @@
-//! This router's share of the fleet's retry budget.
+//! Tracks this router's share of the fleet's retry budget.
 
 use std::collections::HashMap;
 
-/// What the fleet may spend on repeats.
+/// The retry budget of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Repeats allowed for each request of a service.
+    /// Retries allowed per request of a service.
     pub ratio: f64,
-    /// Repeats allowed besides, for the whole fleet in one window.
+    /// Additional retries allowed for the whole fleet in one window.
     pub fixed: f64,
-    /// The length of the window.
+    /// Length of the window in milliseconds.
     pub window_ms: u64,
-    /// How long a service counts as full after it had no room for a request; 0: never.
+    /// Time for which a service counts as full after it had no capacity for a request, in
+    /// milliseconds; 0: never.
     pub full_ms: u64,
 }
 
@@ -26,12 +27,13 @@
     }
 }
 
-/// Counts requests and repeats of each service, and says whether one more repeat fits.
+/// Counts requests and retries of each service, and decides whether one more retry is within this
+/// router's share.
 ///
-/// No router knows what the others spend, so each keeps to a share that adds up to less than the
-/// budget whatever the others do: its own requests times the ratio, and the fixed part divided
-/// by the routers that may exist. Half of the fixed part is left for routers that started again
-/// and forgot what they spent.
+/// A router does not know how many retries the others make, so each keeps to a share such that all
+/// shares add up to less than the budget: its own requests times the ratio, and the fixed part
+/// divided by the number of routers that may exist. Half of the fixed part is reserved for routers
+/// that restarted and lost their counts.
 #[derive(Clone, Debug)]
 pub struct RetryShare {
     settings: RetrySettings,
@@ -49,26 +51,27 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     requests: u32,
-    repeats: u32,
+    retries: u32,
     failures: u32,
     successes: u32,
 }
 
-/// Slices of a window: a coarser cut would forget a tenth of the window too early.
+/// Number of slices in a window. With fewer, more than a tenth of the window would be dropped too
+/// early.
 const SLICES: usize = 10;
 
 impl RetryShare {
-    /// The part of the ratio that is spent: the rest covers requests that arrive at the edge of a
-    /// window that the fleet's accounting cuts elsewhere.
-    const RATIO_PART: f64 = 0.7;
-    /// The part of the fixed sum that is spent in one window: a restart may spend it again.
-    const FIXED_PART: f64 = 0.5;
-    /// The share of failed attempts above which a service counts as failing as a whole.
+    /// Fraction of the ratio that is used. The rest covers requests at the edge of a window, since
+    /// the fleet's accounting may place its windows differently.
+    const RATIO_FRACTION: f64 = 0.7;
+    /// Fraction of the fixed part that is used in one window; a restarted router may use it again.
+    const FIXED_FRACTION: f64 = 0.5;
+    /// Share of failed attempts above which a service counts as failing as a whole.
     const FAILING_SHARE: f64 = 0.5;
-    /// Attempts that must have ended before that is judged.
-    const MIN_JUDGED: u32 = 10;
+    /// Minimum number of ended attempts for that decision.
+    const MIN_ENDED: u32 = 10;
 
-    /// A share of this budget.
+    /// Creates a share of this budget.
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
@@ -76,21 +79,21 @@
         }
     }
 
-    /// Goes on with another budget.
+    /// Replaces the budget.
     pub fn set_settings(&mut self, settings: RetrySettings) {
         if settings.window_ms != self.settings.window_ms {
-            // Counts in slices of another length say nothing.
+            // Counts in slices of another length cannot be converted.
             self.services.clear();
         }
         self.settings = settings;
     }
 
-    /// Notes a caller's request for a service.
+    /// Records a caller's request for a service.
     pub fn note_request(&mut self, service: &str, now_ms: u64) {
         self.slice(service, now_ms).requests += 1;
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn note_end(&mut self, service: &str, succeeded: bool, now_ms: u64) {
         let slice = self.slice(service, now_ms);
         match succeeded {
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Notes that a service had no room for a request; true if it did not count as full before.
+    /// Records that a service had no capacity for a request. Returns true if it did not count as
+    /// full before.
     pub fn note_full(&mut self, service: &str, now_ms: u64) -> bool {
         let was_full = self.is_full(service, now_ms);
         let full_until_ms = now_ms + self.settings.full_ms;
@@ -107,30 +111,30 @@
         !was_full && self.is_full(service, now_ms)
     }
 
-    /// Whether a service lately had no room. A second attempt would take the place of somebody's
-    /// first one there; its caller does better to come back when there is room.
+    /// Returns whether a service recently had no capacity. A retry would displace another caller's
+    /// first attempt there; the caller should come back later instead.
     pub fn is_full(&self, service: &str, now_ms: u64) -> bool {
         let window = self.services.get(service);
         window.is_some_and(|window| now_ms < window.full_until_ms)
     }
 
-    /// Takes one repeat if the share allows it and the service is not failing as a whole.
-    /// `routers` is how many routers may exist.
+    /// Uses one retry if the share allows it and the service is not failing as a whole. `routers`
+    /// is the number of routers that may exist.
     pub fn try_repeat(&mut self, service: &str, routers: usize, now_ms: u64) -> bool {
         let settings = self.settings.clone();
         let window = self.window(service, now_ms);
         let sum = window.sum();
-        let judged = sum.failures + sum.successes;
-        let failing = f64::from(sum.failures) > f64::from(judged) * Self::FAILING_SHARE;
-        if judged >= Self::MIN_JUDGED && failing {
+        let ended = sum.failures + sum.successes;
+        let failing = f64::from(sum.failures) > f64::from(ended) * Self::FAILING_SHARE;
+        if ended >= Self::MIN_ENDED && failing {
             return false;
         }
-        let by_ratio = f64::from(sum.requests) * settings.ratio * Self::RATIO_PART;
-        let fixed = settings.fixed * Self::FIXED_PART / routers.max(1) as f64;
-        if f64::from(sum.repeats) + 1.0 > by_ratio + fixed {
+        let by_ratio = f64::from(sum.requests) * settings.ratio * Self::RATIO_FRACTION;
+        let fixed = settings.fixed * Self::FIXED_FRACTION / routers.max(1) as f64;
+        if f64::from(sum.retries) + 1.0 > by_ratio + fixed {
             return false;
         }
-        self.slice(service, now_ms).repeats += 1;
+        self.slice(service, now_ms).retries += 1;
         true
     }
 
@@ -165,7 +169,7 @@
         let mut sum = Slice::default();
         for slice in &self.slices {
             sum.requests += slice.requests;
-            sum.repeats += slice.repeats;
+            sum.retries += slice.retries;
             sum.failures += slice.failures;
             sum.successes += slice.successes;
         }
--- a/crates/sapphiretrack-routing/src/server_health.rs
+++ b/crates/sapphiretrack-routing/src/server_health.rs
@@ -1,24 +1,25 @@
-//! What this router's own requests tell about one backend server.
+//! Health of one backend server, judged by this router's own requests.
 
-/// When a server counts as bad.
+/// Thresholds for unhealthy servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerHealthSettings {
-    /// How long a server with requests may be silent before it is suspected.
+    /// Time without progress after which a server with requests is suspected, in milliseconds.
     pub mute_ms: u64,
-    /// How long a server that could not be reached is left out the first time.
+    /// Time for which an unreachable server is excluded after the first failure, in milliseconds;
+    /// doubled with each further one.
     pub unreachable_ms: u64,
-    /// The longest time that it is left out.
+    /// Maximum of that time in milliseconds.
     pub max_unreachable_ms: u64,
-    /// The weight of the newest outcome in the share of failures.
+    /// Weight of the newest outcome in the failure share.
     pub outcome_weight: f64,
-    /// How fast a bad share is forgiven when nothing is sent: its half-life.
+    /// Half-life of the failure share without new outcomes, in milliseconds.
     pub forgive_half_life_ms: u64,
 }
 
 impl Default for ServerHealthSettings {
     fn default() -> Self {
         Self {
-            // A prompt of 26,000 tokens takes half a second to its first event.
+            // The first event after a prompt of 26,000 tokens takes half a second.
             mute_ms: 700,
             unreachable_ms: 300,
             max_unreachable_ms: 2_400,
@@ -28,24 +29,24 @@
     }
 }
 
-/// Requests in flight, their progress, and how attempts ended.
+/// Requests in flight, their progress, and the outcomes of attempts.
 #[derive(Clone, Debug, Default)]
 pub struct ServerHealth {
-    /// Requests that this router has at the server.
+    /// Requests that this router has in flight at the server.
     pub in_flight: u32,
     /// Tokens of their prompts and answers.
     pub tokens: u64,
-    /// Prompt tokens that it is believed still to read before a first event.
+    /// Estimated number of prompt tokens that it still has to process before a first event.
     pub prefill_tokens: u64,
     waiting_since_ms: Option<u64>,
     failure_share: f64,
-    judged_ms: u64,
+    last_outcome_ms: u64,
     unreachable_until_ms: u64,
-    unreachable_row: u32,
+    consecutive_unreachable: u32,
 }
 
 impl ServerHealth {
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub fn note_sent(&mut self, now_ms: u64) {
         if self.in_flight == 0 {
             self.waiting_since_ms = Some(now_ms);
@@ -53,13 +54,13 @@
         self.in_flight += 1;
     }
 
-    /// Notes that bytes of an answer came.
+    /// Records that bytes of an answer arrived.
     pub fn note_progress(&mut self, now_ms: u64) {
         self.waiting_since_ms = Some(now_ms);
-        self.unreachable_row = 0;
+        self.consecutive_unreachable = 0;
     }
 
-    /// Notes that a request is no longer at the server.
+    /// Records that a request is no longer at the server.
     pub fn note_left(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
@@ -67,34 +68,34 @@
         }
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn note_outcome(&mut self, settings: &ServerHealthSettings, failed: bool, now_ms: u64) {
         let share = self.failure_share(settings, now_ms);
         let outcome = if failed { 1.0 } else { 0.0 };
         self.failure_share = share + settings.outcome_weight * (outcome - share);
-        self.judged_ms = now_ms;
+        self.last_outcome_ms = now_ms;
     }
 
-    /// Notes that no connection could be made.
+    /// Records that no connection could be established.
     pub fn note_unreachable(&mut self, settings: &ServerHealthSettings, now_ms: u64) {
-        let doubled = settings.unreachable_ms << self.unreachable_row.min(8);
+        let doubled = settings.unreachable_ms << self.consecutive_unreachable.min(8);
         self.unreachable_until_ms = now_ms + doubled.min(settings.max_unreachable_ms);
-        self.unreachable_row += 1;
+        self.consecutive_unreachable += 1;
     }
 
-    /// The share of failed attempts, forgiven over time.
+    /// Returns the share of failed attempts, which decays over time.
     pub fn failure_share(&self, settings: &ServerHealthSettings, now_ms: u64) -> f64 {
-        let idle_ms = now_ms.saturating_sub(self.judged_ms) as f64;
+        let idle_ms = now_ms.saturating_sub(self.last_outcome_ms) as f64;
         let half_lives = idle_ms / settings.forgive_half_life_ms.max(1) as f64;
         self.failure_share * 0.5_f64.powf(half_lives)
     }
 
-    /// Whether it could lately not be reached.
+    /// Returns whether the server was recently unreachable.
     pub fn is_unreachable(&self, now_ms: u64) -> bool {
         now_ms < self.unreachable_until_ms
     }
 
-    /// Whether it has requests and none of them moves.
+    /// Returns whether the server has requests and none of them makes progress.
     pub fn is_unresponsive(&self, settings: &ServerHealthSettings, now_ms: u64) -> bool {
         let since = self.waiting_since_ms;
         since.is_some_and(|since| now_ms.saturating_sub(since) > settings.mute_ms)
--- a/crates/sapphiretrack-routing/src/stop.rs
+++ b/crates/sapphiretrack-routing/src/stop.rs
@@ -1,36 +1,38 @@
-//! A planned stop: what a router still takes, and when it ends.
+//! Phases of a planned stop: what a router still accepts, and when it exits.
 
-/// The times of a planned stop, counted from its signal.
+/// The timing of a planned stop, counted from its signal.
 #[derive(Clone, Copy, Debug)]
 pub struct StopTimes {
-    /// The time that the platform grants before it kills the process.
+    /// Time in milliseconds until the platform kills the process.
     pub grace_ms: u64,
 }
 
-/// What a stopping router does at a moment.
+/// The phase of a stopping router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopPhase {
-    /// It takes requests on, since callers still hold lookups that name it.
+    /// It still accepts requests, since callers may have lookups that name it.
     Serving,
-    /// It refuses new requests as not run, and ends those that it has.
+    /// It rejects new requests as not run, and completes those in flight.
     Finishing,
-    /// It ends.
+    /// It exits.
     Over,
 }
 
 impl StopTimes {
-    /// A long request that is taken later than this may not end within the grace.
+    /// Time for which requests are accepted, in milliseconds. A long request that is accepted later
+    /// may not complete within the grace period.
     const SERVE_MS: u64 = 2_500;
-    /// How long after the last request an idle router stays, for callers that still connect.
+    /// Time without requests after which an idle router exits, in milliseconds. Until then callers
+    /// may still connect.
     const QUIET_MS: u64 = 3_000;
-    /// Kept between the end of the process and the kill.
+    /// Margin between the exit of the process and the kill, in milliseconds.
     const RESERVE_MS: u64 = 400;
 
-    /// The phase at `since_ms` after the signal. `in_flight` requests run, and the last one came
-    /// or ended `quiet_ms` ago.
+    /// Returns the phase at `since_ms` after the signal. `in_flight` requests are running, and the
+    /// last one arrived or ended `quiet_ms` ago.
     pub fn phase(&self, since_ms: u64, in_flight: usize, quiet_ms: u64) -> StopPhase {
-        let last_ms = self.grace_ms.saturating_sub(Self::RESERVE_MS);
-        if since_ms >= last_ms {
+        let end_ms = self.grace_ms.saturating_sub(Self::RESERVE_MS);
+        if since_ms >= end_ms {
             return StopPhase::Over;
         }
         let idle = in_flight == 0 && quiet_ms >= Self::QUIET_MS && since_ms >= Self::QUIET_MS;
