--- a/crates/sapphiretrack-routing/src/placement.rs
+++ b/crates/sapphiretrack-routing/src/placement.rs
@@ -1,42 +1,44 @@
-//! Which backend server gets a request: the one with the least estimated cost in time.
+//! Selects the backend server for a request: the one with the lowest estimated cost in time.
 
 use sapphiretrack_core::rendezvous_score;
 
 use crate::{Incarnation, PromptPrefix};
 
-/// What a request costs at a server, in milliseconds of its caller's time.
+/// Cost model of a request at a server, in milliseconds of its caller's time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementCosts {
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine processes in a millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// What one more running request costs all others on an engine, over their whole answers.
+    /// Cost of one more running request to all others on an engine, over their whole answers.
     pub engine_request_ms: f64,
-    /// What one running request costs at a plain service: about its service time, divided by
-    /// the slots that share it.
+    /// Cost of one running request at a plain service: about its service time, divided by the slots
+    /// that share it.
     pub plain_request_ms: f64,
-    /// Added for another availability zone: both ways, and the price of the bytes.
+    /// Added for another availability zone: the round trip and the price of the bytes.
     pub other_zone_ms: f64,
-    /// Added for another region: both ways, and the price of the bytes.
+    /// Added for another region: the round trip and the price of the bytes.
     pub other_region_ms: f64,
-    /// Added for a failure share of 1.
+    /// Added for a failure share of 1, and in proportion below.
     pub failure_ms: f64,
-    /// Added for a server that cannot be reached or does not move.
+    /// Added for a server that is unreachable or makes no progress.
     pub suspect_ms: f64,
-    /// The part of the time to read the shared prefixes that is taken off for their home: where nobody
-    /// is known to hold them, all routers choose the same server, and they are read once. A whole
-    /// prefix would let requests wait at a home that is busy for as long as reading takes elsewhere.
+    /// Fraction of the processing time of the uncached tokens that is deducted at their home
+    /// server. Where no server is known to hold the shared prefixes, all routers choose the same
+    /// one, and the prefixes are processed once. With the whole time, requests would queue at a
+    /// busy home for as long as the processing takes elsewhere.
     pub home_part: f64,
-    /// How far above the mean of its service a server may be loaded, as a factor and a fixed
-    /// number of requests: a little less than callers tolerate, since counts are late.
+    /// How far the load of a server may exceed the mean of its service, as a factor and a fixed
+    /// number of requests. A little less than callers tolerate, since counts are delayed.
     pub bound_factor: f64,
     /// See `bound_factor`.
     pub bound_requests: f64,
-    /// Requests with one prefix that a home may hold at once, in means of its service; beyond it the
-    /// prefix gets another home.
+    /// Requests with one prefix that a home may hold concurrently, as a multiple of the mean load
+    /// of its service. Beyond it the prefix gets another home.
     pub home_load: f64,
-    /// Requests with one prefix that a home may hold at once in any case.
+    /// Requests with one prefix that a home may always hold concurrently.
     pub home_requests: f64,
-    /// Tokens from which on fetching a prefix from another server's memory is worth a transfer.
+    /// Minimum number of tokens for which fetching a prefix from another server's memory is worth a
+    /// transfer.
     pub min_fetch_tokens: u32,
 }
 
@@ -60,7 +62,7 @@
     }
 }
 
-/// How far a server or a router is away.
+/// Distance of a server or router.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Distance {
     /// In the same availability zone.
@@ -72,8 +74,8 @@
 }
 
 impl Distance {
-    /// The distance between two availability zones; `region_of` tells a zone's region. A zone
-    /// whose region is not known counts as near.
+    /// Returns the distance between two availability zones. `region_of` returns the region of a
+    /// zone; a zone whose region is unknown counts as in the same region.
     pub fn between<'a, RegionOf>(one: &str, other: &str, region_of: RegionOf) -> Self
     where
         RegionOf: Fn(&str) -> Option<&'a str>,
@@ -88,43 +90,44 @@
     }
 }
 
-/// A server as placement sees it.
+/// A server as seen by placement.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The server.
     pub server: Incarnation,
-    /// How far it is away.
+    /// Its distance.
     pub distance: Distance,
-    /// Whether it is the home of the prompt's last shared prefix.
+    /// Whether it is the home of the prompt's last shared prefix for this request.
     pub is_home: bool,
-    /// Whether that prefix has several homes, of which this request goes to the one above.
+    /// Whether that prefix has several homes, of which this request uses one.
     pub is_hot: bool,
     /// Requests that all routers have there, as far as known.
     pub in_flight: u32,
     /// The same, averaged over the last seconds.
     pub average_in_flight: f64,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// The most requests that it may hold.
+    /// Maximum number of requests that it may hold.
     pub capacity: u32,
-    /// Prompt tokens that it has yet to read for others.
+    /// Prompt tokens that it still has to process for other requests.
     pub prefill_tokens: u64,
-    /// Tokens of this prompt that it is believed to hold.
+    /// Estimated number of tokens of this prompt in its cache.
     pub cached_tokens: u32,
-    /// The share of failed attempts lately.
+    /// Recent share of failed attempts.
     pub failure_share: f64,
-    /// Whether it could not be reached or does not move.
+    /// Whether it is unreachable or makes no progress.
     pub suspect: bool,
     /// Whether this request was already sent there.
     pub tried: bool,
 }
 
-/// The server whose cache is the home of a prompt's shared prefix for one request, by rendezvous
-/// hashing over the live servers: all routers agree on it without a word.
+/// Returns the home of a prompt's shared prefix for one request: the server whose cache should hold
+/// it. It is chosen by rendezvous hashing over the live servers, so all routers agree on it without
+/// communication.
 ///
-/// A prefix that is sent so often that its requests would fill one server has as many homes as
-/// keep a few of them at each; `draw`, below 1, spreads requests over them. Counts of
-/// requests are too old to do so in a large fleet: a hot prefix brings many requests between two heartbeats.
+/// A prefix whose requests would fill one server has several homes (`homes`), and `draw`, a random
+/// number below 1, distributes the requests over them. Counts of requests are too old for this in a
+/// large fleet: a hot prefix brings many requests between two heartbeats.
 pub fn preferred_server<Servers>(
     prefix: &PromptPrefix,
     servers: Servers,
@@ -145,12 +148,12 @@
     ranked.get(index).or(ranked.last()).copied()
 }
 
-/// Taken off for a home at least: what two requests cost the others.
-const MIN_HOME_MS: f64 = 6.0;
+/// Minimum bonus of a home in milliseconds: the cost of two requests to the others.
+const MIN_HOME_BONUS_MS: f64 = 6.0;
 
-/// How many homes a prefix needs that comes with this share of a service's requests, of which
-/// `in_flight` are at its `servers`. Each home is one more copy in the memory of all, so that a prefix
-/// gets another one only when its requests alone load a home as much as a server is loaded.
+/// Returns the number of homes for a prefix that occurs in this share of a service's requests, of
+/// which `in_flight` are at its `servers`. Each home is one more copy in the servers' memory, so a
+/// prefix gets another one only when its requests alone load a home as much as the average server.
 pub fn home_count(costs: &PlacementCosts, share: f64, in_flight: u32, servers: usize) -> usize {
     let in_flight = f64::from(in_flight);
     let mean = in_flight / servers.max(1) as f64;
@@ -158,8 +161,9 @@
     ((share * in_flight / at_home).ceil() as usize).max(1)
 }
 
-/// The candidate that holds the most of a prompt beyond what the chosen one holds. A token takes
-/// half the time to fetch that it takes to compute, and the holder's prefix is not computed twice.
+/// Returns the index of the candidate from which the chosen one should fetch a prefix: the one that
+/// holds the most of the prompt. `None` if it holds too few tokens more than the chosen one.
+/// Fetching a token takes half the time of computing it, and the prefix is not computed twice.
 pub fn fetch_source(
     costs: &PlacementCosts,
     candidates: &[Candidate],
@@ -172,54 +176,54 @@
     (one.cached_tokens >= held.saturating_add(costs.min_fetch_tokens)).then_some(holder)
 }
 
-/// The least part of its share that a failing server still gets: it shows by that when it is well.
-const MIN_SOUND_SHARE: f64 = 0.05;
-/// Servers up to which all are compared: the routers before so few are few too, and receive each
-/// other's loads often.
-const COMPARE_ALL: usize = 16;
-/// Servers that are drawn at random beside the home and the holders.
-const DRAWN: usize = 3;
+/// Minimum weight of a failing server. The requests it still gets show when it has recovered.
+const MIN_SUCCESS_WEIGHT: f64 = 0.05;
+/// Maximum number of servers for which all are compared. So few servers have few routers, which
+/// exchange loads often.
+const MAX_COMPARE_ALL: usize = 16;
+/// Number of servers sampled from all, and from the holders, besides the home.
+const SAMPLE_SIZE: usize = 3;
 
-/// The candidates that one request compares: the home, a few of the servers that hold at least half
-/// as much of the prompt as the best holder, and a few of all. Among equals the first one wins,
-/// so that their order is random too.
+/// Returns the indices of the candidates to compare for one request: the home, a few of the servers
+/// that hold at least half as much of the prompt as the best holder, and a few of all. Their order
+/// is random, since the first of equal candidates wins.
 ///
-/// All routers see the same late counts. If each took the least loaded of all servers, or of all
-/// holders of a prefix that many prompts begin with, the one that looked emptiest would get the next
-/// requests of all of them. Of a few drawn at random the least loaded is nearly as good, and
-/// different routers draw different ones.
+/// All routers see the same delayed counts. If each chose the least loaded of all servers, or of
+/// all holders of a common prefix, the one that looked emptiest would get the next requests of all
+/// routers. The least loaded of a few random ones is nearly as good, and differs between routers.
 pub fn compared<Draw>(candidates: &[Candidate], mut draw: Draw) -> Vec<usize>
 where
     Draw: FnMut() -> f64,
 {
     let count = candidates.len();
-    let mut drawn_of =
+    let mut random_index =
         |count: usize| ((draw().clamp(0.0, 1.0) * count as f64) as usize).min(count.max(1) - 1);
-    if count <= COMPARE_ALL {
-        let first = drawn_of(count);
+    if count <= MAX_COMPARE_ALL {
+        let first = random_index(count);
         return (first..count).chain(0..first).collect();
     }
     let most = candidates.iter().map(|one| one.cached_tokens).max();
     let enough = (most.unwrap_or(0) / 2).max(1);
-    let mut chosen: Vec<usize> = (0..DRAWN).map(|_| drawn_of(count)).collect();
+    let mut chosen: Vec<usize> = (0..SAMPLE_SIZE).map(|_| random_index(count)).collect();
     chosen.extend(candidates.iter().position(|one| one.is_home));
     let holders = candidates.iter().enumerate();
     let holders = holders.filter(|(_, one)| one.cached_tokens >= enough);
     let mut holders: Vec<usize> = holders.map(|(index, _)| index).collect();
-    for _ in 0..DRAWN.min(holders.len()) {
-        chosen.push(holders.swap_remove(drawn_of(holders.len())));
+    for _ in 0..SAMPLE_SIZE.min(holders.len()) {
+        chosen.push(holders.swap_remove(random_index(holders.len())));
     }
     chosen
 }
 
-/// The index of the best of the compared candidates; of all if those are full, tried or suspect,
-/// and none if all are. Servers above the load bound are taken only if all others are worse.
+/// Returns the index of the best of the sampled candidates. If these are all full, tried, suspect
+/// or above the load bound, the best of all candidates that are neither full nor tried; `None` if
+/// there is none. The load bound and suspicion only add to the cost.
 pub fn choose_server(
     costs: &PlacementCosts,
     is_engine: bool,
     prompt_tokens: u32,
     candidates: &[Candidate],
-    compared: &[usize],
+    sampled: &[usize],
 ) -> Option<usize> {
     let total: u32 = candidates.iter().map(|one| one.in_flight).sum();
     let mean = f64::from(total) / candidates.len().max(1) as f64;
@@ -237,7 +241,7 @@
         !one.tried && one.in_flight < one.capacity
     };
     let cheapest = |open: Vec<usize>| open.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
-    let best = cheapest(compared.iter().copied().filter(is_open).collect());
+    let best = cheapest(sampled.iter().copied().filter(is_open).collect());
     let good = best.filter(|index| {
         let one = &candidates[*index];
         !one.suspect && f64::from(one.in_flight) <= bound
@@ -245,13 +249,14 @@
     good.or_else(|| cheapest((0..candidates.len()).filter(is_open).collect()))
 }
 
-/// A random server, where counts are too old to tell which one is free. If all routers took the
-/// one that looked emptiest, it would get the requests of all of them until the next counts come.
+/// Returns the index of a random server, for when counts are too old to tell which one is free. If
+/// all routers chose the one that looked emptiest, it would get all requests until the next counts
+/// arrive.
 ///
-/// Servers get requests by their slots, and fewer if they have been busier than the others for
-/// some time, as slow ones are. Suspects are drawn only if there is nothing else. None while the
-/// service is overloaded: the more of its capacity is taken, the more requests, so that what is
-/// let in still finds a short queue.
+/// The weight of a server is its number of slots, reduced if it has been busier than the others for
+/// some time, as slow ones are. Suspects are chosen only if there is nothing else. While the
+/// service is overloaded, requests are refused with `None`, the more of them the more of its
+/// capacity is in use, so that admitted requests still find a short queue.
 pub fn draw_server<Draw>(candidates: &[Candidate], mut draw: Draw) -> Option<usize>
 where
     Draw: FnMut() -> f64,
@@ -259,20 +264,20 @@
     let untried = candidates.iter().filter(|one| !one.tried);
     let slots: f64 = untried.clone().map(|one| f64::from(one.slots)).sum();
     let open: f64 = untried
-        .map(|one| f64::from(one.slots) * open_share(one))
+        .map(|one| f64::from(one.slots) * admission_share(one))
         .sum();
     if draw() * slots >= open {
         return None;
     }
-    let has_sound = candidates
+    let has_healthy = candidates
         .iter()
-        .any(|one| !one.tried && !one.suspect && open_share(one) > 0.0);
-    let weight = |one: &Candidate| match one.tried || (has_sound && one.suspect) {
+        .any(|one| !one.tried && !one.suspect && admission_share(one) > 0.0);
+    let weight = |one: &Candidate| match one.tried || (has_healthy && one.suspect) {
         true => 0.0,
         false => {
-            let slots = f64::from(one.slots.max(1)) * open_share(one);
-            let sound_share = (1.0 - one.failure_share).max(MIN_SOUND_SHARE);
-            slots * sound_share / (1.0 + one.average_in_flight)
+            let slots = f64::from(one.slots.max(1)) * admission_share(one);
+            let success_weight = (1.0 - one.failure_share).max(MIN_SUCCESS_WEIGHT);
+            slots * success_weight / (1.0 + one.average_in_flight)
         }
     };
     let total: f64 = candidates.iter().map(weight).sum();
@@ -291,21 +296,22 @@
     last
 }
 
-/// The share of requests that a server takes: all up to half of its capacity, none from four thirds on.
-fn open_share(one: &Candidate) -> f64 {
+/// Returns the share of requests that a server accepts: all up to half of its capacity, none from
+/// four thirds of it.
+fn admission_share(one: &Candidate) -> f64 {
     let taken = one.average_in_flight / f64::from(one.capacity.max(1));
     (1.6 - 1.2 * taken).clamp(0.0, 1.0)
 }
 
-/// What a request costs at a server, but for the load bound.
+/// Returns the cost of a request at a server, without the load bound.
 fn request_cost(
     costs: &PlacementCosts,
     is_engine: bool,
     prompt_tokens: u32,
     one: &Candidate,
 ) -> f64 {
-    // A hot prefix soon lies at all of its homes; the holders of the moment must not draw all
-    // of its requests.
+    // A hot prefix is soon cached at all of its homes; the current holders must not attract all of
+    // its requests.
     let cached = if one.is_hot { 0 } else { one.cached_tokens };
     let uncached = f64::from(prompt_tokens.saturating_sub(cached));
     let request_ms = match is_engine {
@@ -317,7 +323,7 @@
         cost += (uncached + one.prefill_tokens as f64) / costs.prefill_tokens_per_ms;
     }
     if one.is_home {
-        cost -= MIN_HOME_MS + uncached * costs.home_part / costs.prefill_tokens_per_ms;
+        cost -= MIN_HOME_BONUS_MS + uncached * costs.home_part / costs.prefill_tokens_per_ms;
     }
     cost += match one.distance {
         Distance::SameZone => 0.0,
--- a/crates/sapphiretrack-routing/src/prefix_index.rs
+++ b/crates/sapphiretrack-routing/src/prefix_index.rs
@@ -1,4 +1,4 @@
-//! Which prompt prefixes were lately sent to which server, by any router.
+//! Tracks which prompt prefixes were recently sent to which server by any router.
 
 use std::collections::HashMap;
 
@@ -12,60 +12,61 @@
 /// A prompt prefix that a router sent to a server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SentPrefix {
-    /// The server's incarnation.
+    /// Incarnation of the server.
     pub server: u64,
-    /// The prefix's id.
+    /// Id of the prefix.
     pub prefix: u64,
-    /// Its length.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
 }
 
 /// Tokens that a router sent to a server and that no other request shares.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SentTokens {
-    /// The server's incarnation.
+    /// Incarnation of the server.
     pub server: u64,
-    /// How many.
+    /// Number of tokens.
     pub tokens: u32,
-    /// With how many requests.
+    /// Number of requests.
     pub requests: u16,
 }
 
-/// What a router sent to servers.
+/// Prompts that a router sent to servers.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SentPrompts {
     /// Shared prompt prefixes.
     pub prefixes: Vec<SentPrefix>,
-    /// All else, by server: it takes the place of prefixes in the server's memory.
+    /// All other tokens by server, which displace prefixes from the server's memory.
     pub private: Vec<SentTokens>,
 }
 
-/// A bounded memory of sent prefixes. Routers advertise what they sent, so that all know
-/// the holders of a prefix: one router alone sees each prefix too rarely to remember.
+/// A bounded index of sent prefixes. Routers advertise what they sent, so that all know the holders
+/// of a prefix: a single router sees each prefix too rarely to learn them itself.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     settings: WarmSettings,
-    /// Looked up for each server at each choice, hence the quick hash.
+    /// Looked up for each server in each placement, hence the fast hash.
     caches: HashMap<Incarnation, ServerCache, RandomState>,
-    /// The memory of each engine, as the operator states it.
+    /// Memory of each engine in tokens, as configured by the operator.
     capacities: HashMap<Incarnation, u64>,
-    /// Prefixes in all caches.
-    remembered: usize,
+    /// Number of prefixes in all caches.
+    entry_count: usize,
     pending: SentPrompts,
     prefix_sends: HashMap<u64, SendRate>,
-    /// The slice in which prefixes were last looked through for those that nobody sends any more.
+    /// Slice in which `prefix_sends` was last cleared of prefixes that are no longer sent.
     counted_slice: u64,
     all_sends: SendRate,
 }
 
-/// What is believed of servers' caches.
+/// Assumptions about servers' caches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmSettings {
-    /// How long a prefix is believed to stay in a server's cache after its last use.
+    /// Time for which a prefix is assumed to stay in a server's cache after its last use, in
+    /// milliseconds.
     pub keep_ms: u64,
-    /// The part of a server's memory that what was used last is believed to fill.
+    /// Fraction of a server's memory that is assumed to hold the most recently used tokens.
     pub memory_part: f64,
-    /// The part of the longest output that an answer takes up on the average.
+    /// Average length of an answer as a fraction of the longest permitted output.
     pub output_part: f64,
 }
 
@@ -80,49 +81,50 @@
 }
 
 impl PrefixIndex {
-    /// The most prefixes that are remembered in a small fleet, which bounds their memory.
+    /// Maximum number of prefixes kept in a small fleet, which bounds their memory.
     const MAX_ENTRIES: usize = 20_000;
-    /// The same for each engine of a large one: the beginnings that many prompts share, and its
-    /// share of the others.
+    /// The same for each engine of a large fleet: the beginnings that many prompts share, and the
+    /// engine's share of the other prefixes.
     const MAX_ENTRIES_OF_ENGINE: usize = 300;
-    /// The most prefixes, and the most servers with private tokens, in a heartbeat, so that it fits
-    /// into one datagram.
+    /// Maximum number of prefixes, and of servers with private tokens, in a heartbeat, so that it
+    /// fits into one datagram.
     const PREFIXES_IN_HEARTBEAT: usize = 64;
-    /// Prefixes in one datagram of an answer to a router that starts.
+    /// Number of prefixes in one datagram of an answer to a starting router.
     pub const PREFIXES_IN_DATAGRAM: usize = 256;
 
-    /// Believes by these settings from now on.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: WarmSettings) {
         self.settings = settings;
         self.use_capacities();
     }
 
-    /// Sets the tokens that fit into the memory of each listed engine. What others hold is still
-    /// believed for its time: an entry that lapsed while the store was away comes back.
+    /// Sets the number of tokens that fit into the memory of each listed engine. The caches of
+    /// other servers are kept until they expire: an entry that lapsed during an outage of the store
+    /// comes back.
     pub fn set_capacities(&mut self, capacities: HashMap<Incarnation, u64>, now_ms: u64) {
         self.capacities = capacities;
         let oldest_ms = now_ms.saturating_sub(self.settings.keep_ms);
         self.caches.retain(|server, cache| {
             self.capacities.contains_key(server) || !cache.is_idle_since(oldest_ms)
         });
-        self.remembered = self.caches.values().map(ServerCache::len).sum();
+        self.entry_count = self.caches.values().map(ServerCache::len).sum();
         self.use_capacities();
     }
 
     fn use_capacities(&mut self) {
         for (server, cache) in &mut self.caches {
             if self.capacities.contains_key(server) {
-                cache.set_capacity(believed(&self.settings, &self.capacities, *server));
+                cache.set_capacity(usable_capacity(&self.settings, &self.capacities, *server));
             }
         }
     }
 
-    /// Notes that this router sent a prompt to a server.
+    /// Records that this router sent a prompt to a server.
     pub fn note_sent(&mut self, server: Incarnation, facts: &RequestFacts, now_ms: u64) {
         for prefix in facts.shared_prefixes() {
-            self.note_prefix(server, *prefix, now_ms);
-            self.count(prefix.id, now_ms);
-            // What does not fit into a heartbeat is only known here.
+            self.record_prefix(server, *prefix, now_ms);
+            self.count_send(prefix.id, now_ms);
+            // Prefixes that do not fit into a heartbeat are known only to this router.
             if self.pending.prefixes.len() < Self::PREFIXES_IN_HEARTBEAT {
                 self.pending.prefixes.push(SentPrefix {
                     server: server.0,
@@ -133,37 +135,38 @@
         }
         let output = f64::from(facts.output_tokens) * self.settings.output_part;
         let tokens = facts.private_tokens().saturating_add(output as u32);
-        self.cache(server).use_private(u64::from(tokens), now_ms);
+        self.cache(server).add_private(u64::from(tokens), now_ms);
         self.all_sends.count(1, now_ms);
         self.count_private(server, tokens);
     }
 
-    /// Notes what a router that was asked knows: who holds what, not what was sent now.
+    /// Records the answer of a router that was asked for prefixes. It tells who holds them and does
+    /// not count as sends.
     pub fn note_holdings(&mut self, holdings: &[SentPrefix], now_ms: u64) {
         for held in holdings {
-            self.note_prefix(Incarnation(held.server), held.prompt_prefix(), now_ms);
+            self.record_prefix(Incarnation(held.server), held.prompt_prefix(), now_ms);
         }
     }
 
-    /// Notes what another router sent since its last heartbeat.
+    /// Records what another router sent since its last heartbeat.
     pub fn note_advertised(&mut self, sent: &SentPrompts, now_ms: u64) {
         for prefix in &sent.prefixes {
-            self.note_prefix(Incarnation(prefix.server), prefix.prompt_prefix(), now_ms);
-            self.count(prefix.prefix, now_ms);
+            self.record_prefix(Incarnation(prefix.server), prefix.prompt_prefix(), now_ms);
+            self.count_send(prefix.prefix, now_ms);
         }
         for private in &sent.private {
             let cache = self.cache(Incarnation(private.server));
-            cache.use_private(u64::from(private.tokens), now_ms);
+            cache.add_private(u64::from(private.tokens), now_ms);
             self.all_sends.count(u32::from(private.requests), now_ms);
         }
     }
 
-    /// What was sent since this was last asked.
+    /// Returns what was sent since the last call.
     pub fn take_pending(&mut self) -> SentPrompts {
         std::mem::take(&mut self.pending)
     }
 
-    /// The prefixes that were sent last, newest first, for a router that knows none.
+    /// Returns the most recently used prefixes, newest first, for a router that knows none.
     pub fn newest(&self, limit: usize, now_ms: u64) -> Vec<SentPrefix> {
         let mut prefixes: Vec<(u64, SentPrefix)> = Vec::new();
         for (server, cache) in &self.caches {
@@ -186,8 +189,9 @@
         newest.map(|(_, prefix)| prefix).collect()
     }
 
-    /// How many tokens of a prompt's shared prefixes a server is believed to hold. A later prefix
-    /// cannot have been read without those before it.
+    /// Returns the estimated number of tokens of a prompt's shared prefixes in a server's cache. A
+    /// cached prefix implies those before it, since a later one cannot have been processed without
+    /// them.
     pub fn cached_tokens(
         &self,
         server: Incarnation,
@@ -206,7 +210,7 @@
         held.iter().map(|prefix| prefix.tokens).sum()
     }
 
-    /// The share of all requests that come with a prefix, as far as it is advertised.
+    /// Returns the share of all requests that contain a prefix, as far as advertised.
     pub fn share_of_sends(&self, prefix: u64, now_ms: u64) -> f64 {
         let Some(sends) = self.prefix_sends.get(&prefix) else {
             return 0.0;
@@ -218,7 +222,7 @@
         }
     }
 
-    fn count(&mut self, prefix: u64, now_ms: u64) {
+    fn count_send(&mut self, prefix: u64, now_ms: u64) {
         let slice = SendRate::slice(now_ms);
         if slice != self.counted_slice {
             self.counted_slice = slice;
@@ -230,18 +234,18 @@
             .count(1, now_ms);
     }
 
-    fn note_prefix(&mut self, server: Incarnation, prefix: PromptPrefix, now_ms: u64) {
-        if self.remembered >= self.max_entries() {
-            self.forget_older(now_ms);
+    fn record_prefix(&mut self, server: Incarnation, prefix: PromptPrefix, now_ms: u64) {
+        if self.entry_count >= self.max_entries() {
+            self.evict_older(now_ms);
         }
         let cache = self.cache(server);
-        if cache.use_prefix(prefix.id, prefix.tokens, now_ms) {
-            self.remembered += 1;
+        if cache.touch_prefix(prefix.id, prefix.tokens, now_ms) {
+            self.entry_count += 1;
         }
     }
 
     fn cache(&mut self, server: Incarnation) -> &mut ServerCache {
-        let capacity = believed(&self.settings, &self.capacities, server);
+        let capacity = usable_capacity(&self.settings, &self.capacities, server);
         self.caches.entry(server).or_insert_with(|| {
             let mut cache = ServerCache::default();
             cache.set_capacity(capacity);
@@ -257,7 +261,7 @@
             one.requests = one.requests.saturating_add(1);
             return;
         }
-        // What does not fit into a heartbeat is only known here.
+        // Tokens that do not fit into a heartbeat are known only to this router.
         if private.len() < Self::PREFIXES_IN_HEARTBEAT {
             private.push(SentTokens {
                 server: server.0,
@@ -271,19 +275,19 @@
         Self::MAX_ENTRIES.max(self.capacities.len() * Self::MAX_ENTRIES_OF_ENGINE)
     }
 
-    fn forget_older(&mut self, now_ms: u64) {
+    fn evict_older(&mut self, now_ms: u64) {
         for keep_ms in [self.settings.keep_ms, self.settings.keep_ms / 4] {
-            self.remembered = 0;
+            self.entry_count = 0;
             for cache in self.caches.values_mut() {
                 cache.forget_before(now_ms.saturating_sub(keep_ms));
-                self.remembered += cache.len();
+                self.entry_count += cache.len();
             }
-            if self.remembered * 2 <= self.max_entries() {
+            if self.entry_count * 2 <= self.max_entries() {
                 return;
             }
         }
         self.caches.clear();
-        self.remembered = 0;
+        self.entry_count = 0;
     }
 }
 
@@ -296,8 +300,8 @@
     }
 }
 
-/// The tokens that are believed to fit into a server's memory; 0 if that is not known.
-fn believed(
+/// Returns the estimated number of tokens that fit into a server's memory; 0 if unknown.
+fn usable_capacity(
     settings: &WarmSettings,
     capacities: &HashMap<Incarnation, u64>,
     server: Incarnation,
--- a/crates/sapphiretrack-routing/src/prefix_recovery.rs
+++ b/crates/sapphiretrack-routing/src/prefix_recovery.rs
@@ -1,23 +1,23 @@
-//! How a router that has just started learns which servers hold which prompt prefixes.
+//! Determines how a starting router learns which servers hold which prompt prefixes.
 
 use std::net::SocketAddr;
 
-/// What to do next.
+/// The next step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PrefixStep {
-    /// Nothing: it knows, or somebody else finds out.
+    /// Do nothing: the prefixes are known, or another router is finding out.
     Wait,
-    /// Ask this router for what it knows.
+    /// Ask this router for its prefixes.
     AskRouter(SocketAddr),
-    /// Ask the backend servers: no router knows.
+    /// Ask the backend servers, since no router knows.
     AskServers,
 }
 
-/// Whether a router knows the prefixes, and where it may learn them.
+/// Whether a router knows the prefixes, and how it can learn them.
 ///
-/// A router that starts knows no holder, and would have every shared prefix computed once more at
-/// its home. Another router sends them at the price of a few datagrams. When all of them started
-/// at the same time, one lists the caches of the servers and sends them to the others.
+/// A starting router knows no holder and would have every shared prefix computed once more at its
+/// home. Getting the prefixes from another router costs only a few datagrams. If all routers
+/// started at the same time, one lists the caches of the servers and sends them to the others.
 #[derive(Clone, Debug)]
 pub struct PrefixRecovery {
     started_ms: u64,
@@ -25,13 +25,15 @@
 }
 
 impl PrefixRecovery {
-    /// How long a router listens for others that know before it concludes that nobody does:
-    /// every live router sends a heartbeat in that time.
+    /// Time for which a router waits for others that know before it concludes that none does, in
+    /// milliseconds. Every live router sends a heartbeat in that time.
     const LISTEN_MS: u64 = 400;
-    /// After this long it knows by itself: older prefixes are not believed in any more.
-    const LEARNT_MS: u64 = 30_000;
+    /// Time after which a router has learned the prefixes by itself, in milliseconds. Older ones
+    /// are assumed to have left the caches.
+    const SELF_LEARN_MS: u64 = 30_000;
 
-    /// A router that starts now. In the first start of the whole fleet there is nothing to know.
+    /// Creates the state of a router that starts now. In the first start of a fleet there is
+    /// nothing to learn.
     pub fn new(is_first_start: bool, now_ms: u64) -> Self {
         Self {
             started_ms: now_ms,
@@ -39,18 +41,18 @@
         }
     }
 
-    /// Notes that it received them.
+    /// Records that the prefixes were received.
     pub fn note_advertised(&mut self) {
         self.knows = true;
     }
 
-    /// Whether others may ask it.
+    /// Returns whether other routers may ask this one.
     pub fn knows(&self, now_ms: u64) -> bool {
-        self.knows || now_ms >= self.started_ms + Self::LEARNT_MS
+        self.knows || now_ms >= self.started_ms + Self::SELF_LEARN_MS
     }
 
-    /// The next step. `sources` are routers that advertise that they know, `rank` is this router's
-    /// place among the live ones, `draw` a random number below 1.
+    /// Returns the next step. `sources` are routers that advertise that they know, `rank` is this
+    /// router's rank among the live ones, `draw` a random number below 1.
     pub fn next_step(
         &self,
         sources: &[SocketAddr],
@@ -73,8 +75,8 @@
     }
 }
 
-/// To how many routers one router sends the prefixes at a time. The others ask again, by when more
-/// routers know: they spread by doubling instead of through one link.
+/// Limits the number of routers to which prefixes are sent in a time window. The others ask again
+/// when more routers know, so the prefixes spread exponentially instead of over one link.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixServing {
     since_ms: u64,
@@ -85,7 +87,7 @@
     const WINDOW_MS: u64 = 250;
     const SERVED_IN_WINDOW: u32 = 8;
 
-    /// Whether one more router may be served now; if so it is counted.
+    /// Returns whether one more router may be served now, and counts it.
     pub fn may_serve(&mut self, now_ms: u64) -> bool {
         if now_ms >= self.since_ms + Self::WINDOW_MS {
             self.since_ms = now_ms;
--- a/crates/sapphiretrack-routing/src/server_cache.rs
+++ b/crates/sapphiretrack-routing/src/server_cache.rs
@@ -1,13 +1,14 @@
-//! What one engine's memory is believed to hold: the prefixes that were used last, as far as they fit.
+//! Estimates the contents of one engine's memory: the most recently used prefixes, as far as they
+//! fit.
 
 use std::collections::{HashMap, VecDeque};
 
 use foldhash::fast::RandomState;
 
-/// A model of the memory of one engine, which drops what was used longest ago.
+/// A model of the memory of one engine, which evicts the least recently used content.
 ///
-/// Tokens are counted by the slice of time of their last use. From the newest slice backwards they
-/// fit into the memory up to a horizon; what was used before it has been dropped.
+/// Tokens are counted by the time slice of their last use. The slices from the newest back to a
+/// horizon fit into the memory; what was last used before the horizon has been evicted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerCache {
     capacity_tokens: u64,
@@ -25,52 +26,53 @@
 }
 
 impl ServerCache {
-    /// The length of a slice: a fraction of the time in which a busy engine's memory is used up.
+    /// Length of a slice in milliseconds: a fraction of the time in which a busy engine fills its
+    /// memory.
     const SLICE_MS: u64 = 250;
-    /// The slices that are kept.
+    /// Number of slices kept.
     const MAX_SLICES: usize = 128;
 
-    /// Sets how many tokens fit; 0 if that is not known.
+    /// Sets the capacity in tokens; 0 if unknown.
     pub(crate) fn set_capacity(&mut self, tokens: u64) {
         if self.capacity_tokens != tokens {
             self.capacity_tokens = tokens;
-            self.move_horizon();
+            self.update_horizon();
         }
     }
 
-    /// Notes that a prefix was read or used; true if it was not remembered.
-    pub(crate) fn use_prefix(&mut self, prefix: u64, tokens: u32, now_ms: u64) -> bool {
+    /// Records that a prefix was processed or used. Returns true if it was not known before.
+    pub(crate) fn touch_prefix(&mut self, prefix: u64, tokens: u32, now_ms: u64) -> bool {
         let held = CachedPrefix {
             tokens,
             used_ms: now_ms,
         };
         let before = self.prefixes.insert(prefix, held);
         if let Some(before) = before {
-            self.take_off(before);
+            self.subtract(before);
         }
         self.add(u64::from(tokens), now_ms);
         before.is_none()
     }
 
-    /// Notes tokens that no other request shares.
-    pub(crate) fn use_private(&mut self, tokens: u64, now_ms: u64) {
+    /// Records tokens that no other request shares.
+    pub(crate) fn add_private(&mut self, tokens: u64, now_ms: u64) {
         self.add(tokens, now_ms);
     }
 
-    /// When a prefix was used last, if it is believed to be held.
+    /// Returns the time of a prefix's last use; `None` if it is assumed to have been evicted.
     pub(crate) fn used_ms(&self, prefix: u64) -> Option<u64> {
         let held = self.prefixes.get(&prefix)?;
         (held.used_ms / Self::SLICE_MS >= self.horizon_slice).then_some(held.used_ms)
     }
 
-    /// The prefixes that are believed to be held: id, tokens, last use.
+    /// Returns the id, tokens and time of last use of the prefixes that are assumed to be cached.
     pub(crate) fn held(&self) -> impl Iterator<Item = (u64, u32, u64)> + '_ {
         let held = self.prefixes.iter();
         let held = held.filter(|(_, one)| one.used_ms / Self::SLICE_MS >= self.horizon_slice);
         held.map(|(prefix, one)| (*prefix, one.tokens, one.used_ms))
     }
 
-    /// Forgets prefixes that were used before a moment, and those that were dropped.
+    /// Removes prefixes last used before a time, and those assumed to have been evicted.
     pub(crate) fn forget_before(&mut self, before_ms: u64) {
         let horizon_slice = self.horizon_slice;
         self.prefixes.retain(|_, one| {
@@ -78,12 +80,12 @@
         });
     }
 
-    /// Whether nothing was sent there since a moment.
+    /// Returns whether nothing was sent to the server since a time.
     pub(crate) fn is_idle_since(&self, moment_ms: u64) -> bool {
         (self.newest_slice + 1) * Self::SLICE_MS <= moment_ms
     }
 
-    /// How many prefixes are remembered.
+    /// Returns the number of known prefixes, including those assumed to have been evicted.
     pub(crate) fn len(&self) -> usize {
         self.prefixes.len()
     }
@@ -104,10 +106,10 @@
         if let Some(newest) = self.slices.back_mut() {
             *newest += tokens;
         }
-        self.move_horizon();
+        self.update_horizon();
     }
 
-    fn take_off(&mut self, held: CachedPrefix) {
+    fn subtract(&mut self, held: CachedPrefix) {
         let age = self
             .newest_slice
             .saturating_sub(held.used_ms / Self::SLICE_MS) as usize;
@@ -117,14 +119,14 @@
         }
     }
 
-    fn move_horizon(&mut self) {
+    fn update_horizon(&mut self) {
         self.horizon_slice = 0;
         if self.capacity_tokens == 0 {
             return;
         }
         let mut tokens = 0;
-        for (age, in_slice) in self.slices.iter().rev().enumerate() {
-            tokens += in_slice;
+        for (age, slice_tokens) in self.slices.iter().rev().enumerate() {
+            tokens += slice_tokens;
             if tokens > self.capacity_tokens {
                 self.horizon_slice = (self.newest_slice + 1).saturating_sub(age as u64);
                 return;
