--- a/crates/sapphiretrack-routing/src/crash_evidence.rs
+++ b/crates/sapphiretrack-routing/src/crash_evidence.rs
@@ -1,4 +1,5 @@
-//! Which requests ran on backend servers that ended: who takes down one server after the other.
+//! Tracks which requests were running on backend servers that crashed, to find requests that crash
+//! one server after another.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -6,29 +7,31 @@
 
 use crate::{Fingerprint, Outline};
 
-/// A request ran on a backend server that ended in the middle of its answer.
+/// A request was running on a backend server that ended in the middle of its answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct CrashRecord {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The incarnation of the server.
+    /// Incarnation of the server.
     pub server: u64,
-    /// How long ago it ended, in milliseconds.
+    /// Time since the crash in milliseconds.
     pub age_ms: u32,
-    /// Whether the same request got a whole answer later: the server ended for another reason.
+    /// Whether the same request later got a complete answer, so that the server must have ended for
+    /// another reason.
     pub is_void: bool,
 }
 
-/// What a router knows of requests that crash servers: a set of records that only grows, until they expire.
-/// Routers merge what they send each other in any order and as often as it comes.
+/// The crash records that a router knows. The set only grows until records expire, and routers can
+/// merge each other's records in any order and any number of times.
 ///
-/// One crash is evidence against all requests that ran there. Only a few routers, the stewards of a request,
-/// learn of its first crash; all learn of it from the second one on.
+/// A crash counts against every request that was running on the server. The first crash of a
+/// request is known only to a few routers, which are chosen by rendezvous hashing; from the second
+/// one on it is shared with all routers.
 #[derive(Clone, Debug, Default)]
 pub struct CrashEvidence {
     requests: HashMap<Fingerprint, BTreeMap<u64, Crash>>,
     outlines: HashSet<Outline>,
-    /// The digest of what all routers are to know, until something changes.
+    /// Cached digest of the shared records; `None` after a change.
     digest: Option<u64>,
 }
 
@@ -39,18 +42,19 @@
 }
 
 impl CrashEvidence {
-    /// The records of a request from which on all routers are to know them.
+    /// Number of records of a request from which on they are shared with all routers.
     pub const SHARED_FROM: usize = 2;
-    /// The most records that are compared and sent at once.
+    /// Maximum number of records that are compared and sent at once.
     pub const MAX_SENT: usize = 256;
-    /// How long a record counts.
+    /// Time in milliseconds after which a record expires.
     pub const KEPT_MS: u64 = 3_600_000;
-    /// The most requests that are kept.
+    /// Maximum number of requests kept.
     pub const MAX_REQUESTS: usize = 1_024;
-    /// The most servers that are kept of a request.
+    /// Maximum number of servers kept per request.
     pub const MAX_SERVERS: usize = 16;
 
-    /// Notes that a server ended while it ran a request; none if that is known.
+    /// Records that a server ended while it ran a request. Returns the record; `None` if it was
+    /// already known or does not fit.
     pub fn note_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -63,10 +67,11 @@
             age_ms: 0,
             is_void: false,
         };
-        self.merge_one(&record, now_ms).then_some(record)
+        self.merge_record(&record, now_ms).then_some(record)
     }
 
-    /// Notes that a request got a whole answer: what is known against it is void. Returns those records.
+    /// Records that a request got a complete answer, which voids all records against it. Returns
+    /// the records that this voided.
     pub fn note_answered(&mut self, fingerprint: Fingerprint, now_ms: u64) -> Vec<CrashRecord> {
         let mut voided = Vec::new();
         let crashes = self.requests.get_mut(&fingerprint);
@@ -74,27 +79,27 @@
             if !crash.is_void {
                 crash.is_void = true;
                 self.digest = None;
-                voided.push(crash.record(fingerprint, *server, now_ms));
+                voided.push(crash.to_record(fingerprint, *server, now_ms));
             }
         }
         voided
     }
 
-    /// Takes in another router's records; those that were news.
+    /// Merges another router's records. Returns those that changed something.
     pub fn merge(&mut self, records: &[CrashRecord], now_ms: u64) -> Vec<CrashRecord> {
         let news = records
             .iter()
-            .filter(|record| self.merge_one(record, now_ms));
+            .filter(|record| self.merge_record(record, now_ms));
         news.copied().collect()
     }
 
-    fn merge_one(&mut self, record: &CrashRecord, now_ms: u64) -> bool {
+    fn merge_record(&mut self, record: &CrashRecord, now_ms: u64) -> bool {
         let age_ms = u64::from(record.age_ms);
         if age_ms >= Self::KEPT_MS {
             return false;
         }
         if !self.requests.contains_key(&record.fingerprint) {
-            self.make_room();
+            self.evict_one();
             self.outlines.insert(record.fingerprint.outline);
         }
         let crashes = self.requests.entry(record.fingerprint).or_default();
@@ -118,28 +123,29 @@
         true
     }
 
-    /// Forgets the request with the fewest crashes, and of these the one whose last crash is the oldest.
-    fn make_room(&mut self) {
+    /// Removes the request with the fewest crashes if the limit is reached; among equals, the one
+    /// whose last crash is the oldest.
+    fn evict_one(&mut self) {
         if self.requests.len() < Self::MAX_REQUESTS {
             return;
         }
         let least = self.requests.iter().min_by_key(|(fingerprint, crashes)| {
             let last_ms = crashes.values().map(|crash| crash.at_ms).max();
-            (valid(crashes), last_ms, **fingerprint)
+            (count_valid(crashes), last_ms, **fingerprint)
         });
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
             self.digest = None;
             self.requests.remove(&fingerprint);
-            self.note_outlines();
+            self.rebuild_outlines();
         }
     }
 
-    fn note_outlines(&mut self) {
+    fn rebuild_outlines(&mut self) {
         let requests = self.requests.keys();
         self.outlines = requests.map(|fingerprint| fingerprint.outline).collect();
     }
 
-    /// Forgets what does not count any more; the requests that lost records by it.
+    /// Removes expired records. Returns the requests that lost any.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Fingerprint> {
         let mut expired = Vec::new();
         self.requests.retain(|fingerprint, crashes| {
@@ -152,58 +158,60 @@
         });
         if !expired.is_empty() {
             self.digest = None;
-            self.note_outlines();
+            self.rebuild_outlines();
         }
         expired
     }
 
-    /// Whether nothing is known.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether anything may be known of requests with an outline, which costs less than a fingerprint.
+    /// Returns whether there may be records of requests with an outline. An outline is cheaper to
+    /// compute than a fingerprint.
     pub fn may_know(&self, outline: Outline) -> bool {
         self.outlines.contains(&outline)
     }
 
-    /// How many servers a request has crashed, as far as it is known.
+    /// Returns how many servers a request has crashed, as far as known.
     pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
-        self.requests.get(&fingerprint).map_or(0, valid)
+        self.requests.get(&fingerprint).map_or(0, count_valid)
     }
 
-    /// The requests that crashed at least so many servers.
+    /// Returns the requests that crashed at least `count` servers.
     pub fn with_crashes(&self, count: usize) -> Vec<Fingerprint> {
         let requests = self.requests.iter();
         let mut found: Vec<Fingerprint> = requests
-            .filter(|(_, crashes)| valid(crashes) >= count)
+            .filter(|(_, crashes)| count_valid(crashes) >= count)
             .map(|(fingerprint, _)| *fingerprint)
             .collect();
         found.sort_unstable();
         found
     }
 
-    /// The records of one request.
+    /// Returns the records of one request.
     pub fn records_of(&self, fingerprint: Fingerprint, now_ms: u64) -> Vec<CrashRecord> {
         let crashes = self.requests.get(&fingerprint);
         let crashes = crashes.into_iter().flatten();
         crashes
-            .map(|(server, crash)| crash.record(fingerprint, *server, now_ms))
+            .map(|(server, crash)| crash.to_record(fingerprint, *server, now_ms))
             .collect()
     }
 
-    /// Whether all routers are to know what is known of a request.
+    /// Returns whether the records of a request are shared with all routers.
     pub fn is_shared(&self, fingerprint: Fingerprint) -> bool {
         let crashes = self.requests.get(&fingerprint);
         crashes.is_some_and(|crashes| crashes.len() >= Self::SHARED_FROM)
     }
 
-    /// What all routers are to know, up to what is sent at once.
+    /// Returns the records that are shared with all routers, at most [`Self::MAX_SENT`].
     pub fn shared_records(&self, now_ms: u64) -> Vec<CrashRecord> {
         self.records(Self::SHARED_FROM, Self::MAX_SENT, now_ms)
     }
 
-    /// A number for what all routers are to know: equal at routers that know the same. 0 for nothing.
+    /// Returns the digest of the shared records, which is equal on routers with the same records; 0
+    /// if there are none.
     pub fn digest(&mut self) -> u64 {
         if let Some(digest) = self.digest {
             return digest;
@@ -213,25 +221,26 @@
         digest
     }
 
-    /// Up to `count` records of requests with `least` of them at least, those with the most crashes first.
+    /// Returns up to `count` records of requests that have at least `least` of them, those with the
+    /// most crashes first.
     pub fn records(&self, least: usize, count: usize, now_ms: u64) -> Vec<CrashRecord> {
         let requests = self.requests.iter();
         let mut requests: Vec<_> = requests
             .filter(|(_, crashes)| crashes.len() >= least)
             .collect();
         requests.sort_unstable_by_key(|(fingerprint, crashes)| {
-            (usize::MAX - valid(crashes), **fingerprint)
+            (usize::MAX - count_valid(crashes), **fingerprint)
         });
         let records = requests.into_iter().flat_map(|(fingerprint, crashes)| {
             let crashes = crashes.iter();
-            crashes.map(|(server, crash)| crash.record(*fingerprint, *server, now_ms))
+            crashes.map(|(server, crash)| crash.to_record(*fingerprint, *server, now_ms))
         });
         records.take(count).collect()
     }
 }
 
 impl Crash {
-    fn record(self, fingerprint: Fingerprint, server: u64, now_ms: u64) -> CrashRecord {
+    fn to_record(self, fingerprint: Fingerprint, server: u64, now_ms: u64) -> CrashRecord {
         let age_ms = now_ms.saturating_sub(self.at_ms);
         CrashRecord {
             fingerprint,
@@ -243,8 +252,7 @@
 }
 
 impl CrashRecord {
-    /// A number for what a set of records says: equal sets have equal sums in any order, whenever they
-    /// were made.
+    /// Computes a digest of a set of records. It depends neither on their order nor on their age.
     pub fn digest(records: &[Self]) -> u64 {
         let one = |record: &Self| {
             let Fingerprint { outline, hash } = record.fingerprint;
@@ -261,6 +269,6 @@
     }
 }
 
-fn valid(crashes: &BTreeMap<u64, Crash>) -> usize {
+fn count_valid(crashes: &BTreeMap<u64, Crash>) -> usize {
     crashes.values().filter(|crash| !crash.is_void).count()
 }
--- a/crates/sapphiretrack-routing/src/event_stream.rs
+++ b/crates/sapphiretrack-routing/src/event_stream.rs
@@ -2,30 +2,30 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event, with its closing empty line.
+/// A whole event, including the empty line that ends it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StreamEvent {
     /// Its id, if it has one.
     pub id: Option<u64>,
-    /// Its bytes as they came.
+    /// Its bytes as received.
     pub bytes: Bytes,
 }
 
-/// Why a stream cannot be believed any further.
+/// Error after which the rest of a stream cannot be trusted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StreamFault {
-    /// An event's id does not follow the one before.
+    /// The id of an event does not follow that of the previous one.
     OutOfOrder {
-        /// The id of the last good event.
+        /// Id of the last valid event.
         last: u64,
-        /// The id that came.
+        /// Id of the invalid event.
         found: u64,
     },
-    /// An event is longer than any that servers send.
+    /// An event exceeds the maximum length.
     TooLong,
 }
 
-/// Cuts bytes into events.
+/// Splits bytes into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -34,10 +34,10 @@
 }
 
 impl EventSplitter {
-    /// The longest event that is waited for.
+    /// Maximum number of bytes buffered for an incomplete event.
     const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-    /// A splitter for a stream that goes on after `last_id`.
+    /// Creates a splitter for a stream that continues after `last_id`.
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
             last_id,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next whole event; `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Result<Option<StreamEvent>, StreamFault> {
         let Some(end) = self.find_end() else {
             if self.buffer.len() > Self::MAX_EVENT_BYTES {
@@ -70,17 +70,17 @@
         Ok(Some(StreamEvent { id, bytes }))
     }
 
-    /// Whether bytes of an unfinished event are held.
+    /// Returns whether bytes of an incomplete event are buffered.
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The id of the last whole event.
+    /// Returns the last id of the events returned so far.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Where the first event ends: after an empty line.
+    /// Finds the end of the first event, after an empty line.
     fn find_end(&mut self) -> Option<usize> {
         let start = self.searched;
         let mut index = start;
@@ -104,7 +104,7 @@
     }
 }
 
-/// The number in an event's `id` line.
+/// Parses the number in an event's `id` line.
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/sapphiretrack-routing/src/fingerprint.rs
+++ b/crates/sapphiretrack-routing/src/fingerprint.rs
@@ -1,40 +1,42 @@
-//! What identifies a request that comes again under another id.
+//! Identifies requests that are sent again under another id.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// What a request has in common with copies of it that come under other ids.
+/// The parts of a request that its copies under other ids have in common.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Who sends it.
+    /// The caller.
     pub caller: &'a str,
-    /// Its method.
+    /// Method.
     pub method: &'a str,
-    /// Its host.
+    /// Host.
     pub host: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub path: &'a str,
-    /// Its body.
+    /// Body.
     pub body: &'a [u8],
 }
 
-/// A hash of all of a request but the bytes of its body: cheap, and no proof of anything.
+/// A hash of a request's caller, method, host, path and body length. It is cheap to compute but not
+/// collision-resistant.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Outline(pub u64);
 
-/// A hash of a whole request. Nobody can find a request with the fingerprint of another caller's.
+/// A cryptographic hash of a whole request: nobody can construct a request with the fingerprint of
+/// another caller's request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint {
-    /// The outline of the same request.
+    /// Outline of the same request.
     pub outline: Outline,
-    /// Half of the SHA-256 of all parts.
+    /// First half of the SHA-256 of all parts.
     pub hash: u128,
 }
 
 impl Outline {
-    /// The outline of a request. All routers make the same (FNV-1a).
+    /// Computes the outline of a request with FNV-1a, so that all routers get the same value.
     pub fn of(request: &RequestIdentity<'_>) -> Self {
         let head = request.head();
         let length = request.body.len().to_le_bytes();
@@ -48,11 +50,11 @@
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(request: &RequestIdentity<'_>) -> Self {
         let mut hash = Sha256::new();
         for part in request.head().into_iter().chain([request.body]) {
-            // With its length no part can be taken for the end of the one before.
+            // The length prefix keeps the boundaries between parts unambiguous.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/sapphiretrack-routing/src/request.rs
+++ b/crates/sapphiretrack-routing/src/request.rs
@@ -1,73 +1,73 @@
-//! What decisions need to know of a request; method, headers and body stay opaque.
+//! The facts about a request that decisions need; method, headers and body stay opaque.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What may be done with a request whose attempt failed.
+/// How a request may be retried after a failed attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum RequestKind {
     /// A second run does no harm.
     Idempotent,
     /// It runs at most once.
     NonIdempotent,
-    /// A stream of events with rising ids.
+    /// A stream of events with increasing ids.
     Stream {
-        /// Another run may go on after the last delivered event.
+        /// Whether another run may continue after the last delivered event.
         resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Whether a request may be sent again though an earlier attempt may have run.
+    /// Returns whether a request may be sent again although an earlier attempt may have run.
     pub fn may_run_again(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether its answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One prefix of a prompt, in the order in which the engine reads them.
+/// One prefix of a prompt, in the order in which the engine processes them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptPrefix {
     /// Identifies the text; equal ids share cached computation.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// The typed facts of one request, decoded by the interface it came in on.
+/// The typed facts of one request, decoded by the interface that received it.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFacts {
-    /// The caller's id of this attempt; backend servers echo it.
+    /// The caller's id of this attempt, echoed by backend servers.
     pub id: Arc<str>,
-    /// The host that the caller asked for.
+    /// Host that the caller requested.
     pub host: String,
-    /// The key that the caller showed.
+    /// Key that the caller presented.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The prefixes of the prompt; the last belongs to this request alone.
+    /// Prefixes of the prompt; the last one belongs to this request alone.
     pub prompt: Vec<PromptPrefix>,
-    /// Tokens that the request reads.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens that it generates.
+    /// Maximum number of tokens that the request generates.
     pub output_tokens: u32,
-    /// The last event that the caller has of an earlier stream.
+    /// Id of the last event that the caller received from an earlier stream.
     pub resume_after: Option<u64>,
 }
 
 impl RequestFacts {
-    /// The prompt without the request's own last prefix: what other requests may share.
+    /// Returns the prefixes that other requests may share: all but the last.
     pub fn shared_prefixes(&self) -> &[PromptPrefix] {
         let shared = self.prompt.len().saturating_sub(1);
         &self.prompt[..shared]
     }
 
-    /// Prompt tokens that no other request shares.
+    /// Returns the number of prompt tokens that no other request shares.
     pub fn private_tokens(&self) -> u32 {
         let shared = self
             .shared_prefixes()
