--- a/crates/sapphiretrack-routing/src/configuration.rs
+++ b/crates/sapphiretrack-routing/src/configuration.rs
@@ -155,7 +155,7 @@
     }
 
     /// Returns the tenant that a key belongs to; `None` if no tenants are configured or the route
-    /// needs no key.
+    /// needs no key. Fails with [`RouteError::UnknownKey`] if a required key is missing or unknown.
     pub fn tenant(&self, route: &Route, key: Option<&str>) -> Result<Option<&Tenant>, RouteError> {
         if !self.needs_key(route) {
             return Ok(None);
--- a/crates/sapphiretrack-routing/src/event_stream.rs
+++ b/crates/sapphiretrack-routing/src/event_stream.rs
@@ -50,7 +50,8 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event; `None` if more bytes are needed.
+    /// Returns the next whole event; `None` if more bytes are needed. Fails if the id of the event
+    /// does not follow the previous one, or if an incomplete event exceeds the maximum length.
     pub fn next_event(&mut self) -> Result<Option<StreamEvent>, StreamFault> {
         let Some(end) = self.find_end() else {
             if self.buffer.len() > Self::MAX_EVENT_BYTES {
