--- a/crates/sapphiretrack-routing/tests/placement.rs
+++ b/crates/sapphiretrack-routing/tests/placement.rs
@@ -1,8 +1,8 @@
-//! Which server gets a request.
+//! Placement: which server gets a request, and which prefixes servers are expected to hold.
 
 mod prompts;
 
-use prompts::{advertised_prefix, prompt_of};
+use prompts::{advertised_prefix, request_with_prefixes};
 use sapphiretrack_routing::{
     Candidate, Distance, Incarnation, PlacementCosts, PrefixIndex, PromptPrefix, SentPrompts,
     SentTokens, ServerHealth, ServerHealthSettings, choose_server, compared, fetch_source,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn where_nobody_holds_it_the_home_wins() {
+fn the_home_wins_if_no_server_holds_the_prompt() {
     let home = Candidate {
         is_home: true,
         in_flight: 6,
@@ -61,24 +61,25 @@
 }
 
 #[test]
-fn a_holder_above_the_load_bound_is_left() {
+fn a_holder_above_the_load_bound_is_not_chosen() {
     let holder = Candidate {
         cached_tokens: 8_600,
         in_flight: 30,
         ..candidate(1)
     };
-    let chosen = choose(&[candidate(0), holder.clone(), candidate(2)]).expect("room");
+    let chosen =
+        choose(&[candidate(0), holder.clone(), candidate(2)]).expect("a server is available");
     assert_ne!(chosen, 1);
     let candidates = [candidate(0), holder, candidate(2)];
     assert_eq!(
         fetch_source(&PlacementCosts::default(), &candidates, chosen),
         Some(1),
-        "its memory is still of use"
+        "the prefix is still fetched from its memory"
     );
 }
 
 #[test]
-fn suspects_tried_and_full_servers_come_last_or_never() {
+fn suspect_servers_come_last_and_tried_or_full_ones_are_excluded() {
     let suspect = Candidate {
         suspect: true,
         in_flight: 0,
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_server_that_fails_often_gets_less() {
+fn a_server_that_fails_often_is_avoided() {
     let bad = Candidate {
         failure_share: 0.4,
         in_flight: 0,
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn the_other_zone_costs_only_where_all_else_is_equal() {
+fn another_zone_is_avoided_only_at_equal_load() {
     let far = Candidate {
         distance: Distance::SameRegion,
         ..candidate(0)
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn a_home_moves_only_when_its_server_goes() {
+fn a_home_moves_only_if_its_server_is_removed() {
     let servers: Vec<Incarnation> = (0..9).map(|id| Incarnation(id * 7_919 + 13)).collect();
     let mut moved = 0;
     for id in 0..1_000 {
@@ -157,14 +158,14 @@
 }
 
 #[test]
-fn prefixes_that_any_router_sent_are_known_for_a_while() {
+fn prefixes_sent_by_any_router_are_remembered_for_a_limited_time() {
     let prefixes = [
         PromptPrefix { id: 1, tokens: 100 },
         PromptPrefix { id: 2, tokens: 50 },
     ];
     let server = Incarnation(5);
     let mut own = PrefixIndex::default();
-    own.note_sent(server, &prompt_of(&prefixes), 0);
+    own.note_sent(server, &request_with_prefixes(&prefixes), 0);
     assert_eq!(own.cached_tokens(server, &prefixes, 1_000), 150);
     assert_eq!(own.cached_tokens(server, &prefixes, 31_000), 0);
     assert_eq!(own.cached_tokens(Incarnation(6), &prefixes, 0), 0);
@@ -172,57 +173,63 @@
     other.note_advertised(&own.take_pending(), 0);
     assert_eq!(other.cached_tokens(server, &prefixes, 1_000), 150);
     assert_eq!(own.take_pending(), SentPrompts::default());
-    // The second prefix was read after the first, whoever told of it.
+    // A server that holds the second prefix has read the first one, even if only the second is
+    // advertised.
     let mut third = PrefixIndex::default();
     third.note_advertised(&advertised_prefix(5, prefixes[1]), 0);
     assert_eq!(third.cached_tokens(server, &prefixes, 1_000), 150);
 }
 
 #[test]
-fn the_memory_of_prefixes_is_bounded() {
-    let mut warm = PrefixIndex::default();
+fn the_prefix_index_is_bounded() {
+    let mut prefix_index = PrefixIndex::default();
     for id in 0..100_000 {
         let prefix = PromptPrefix { id, tokens: 1 };
-        warm.note_sent(Incarnation(id % 7), &prompt_of(&[prefix]), id / 10);
+        prefix_index.note_sent(
+            Incarnation(id % 7),
+            &request_with_prefixes(&[prefix]),
+            id / 10,
+        );
     }
-    assert!(warm.take_pending().prefixes.len() <= 64);
+    assert!(prefix_index.take_pending().prefixes.len() <= 64);
     let last = PromptPrefix {
         id: 99_999,
         tokens: 1,
     };
     assert_eq!(
-        warm.cached_tokens(Incarnation(99_999 % 7), &[last], 10_000),
+        prefix_index.cached_tokens(Incarnation(99_999 % 7), &[last], 10_000),
         1
     );
 }
 
-/// Load pattern: hundreds of engines, each with beginnings that many prompts share and prefixes of its own.
+/// Guards against a bound on the index that is too small for a large pool: 256 engines with 250
+/// prefixes each.
 #[test]
-fn in_a_large_pool_what_all_engines_hold_is_remembered() {
-    let mut warm = PrefixIndex::default();
+fn the_index_remembers_the_prefixes_of_all_engines_of_a_large_pool() {
+    let mut prefix_index = PrefixIndex::default();
     let engines = 256;
     let capacities = (0..engines).map(|engine| (Incarnation(engine), 1_000_000));
-    warm.set_capacities(capacities.collect(), 0);
+    prefix_index.set_capacities(capacities.collect(), 0);
     let prefix_of = |engine: u64, index: u64| PromptPrefix {
         id: engine * 1_000 + index,
         tokens: 100,
     };
     for engine in 0..engines {
         for index in 0..250 {
-            let prompt = prompt_of(&[prefix_of(engine, index)]);
-            warm.note_sent(Incarnation(engine), &prompt, 1_000);
+            let prompt = request_with_prefixes(&[prefix_of(engine, index)]);
+            prefix_index.note_sent(Incarnation(engine), &prompt, 1_000);
         }
     }
-    let held = (0..engines).flat_map(|engine| (0..250).map(move |index| (engine, index)));
-    let known = held.filter(|(engine, index)| {
+    let all_prefixes = (0..engines).flat_map(|engine| (0..250).map(move |index| (engine, index)));
+    let known = all_prefixes.filter(|(engine, index)| {
         let prefix = prefix_of(*engine, *index);
-        warm.cached_tokens(Incarnation(*engine), &[prefix], 2_000) > 0
+        prefix_index.cached_tokens(Incarnation(*engine), &[prefix], 2_000) > 0
     });
     assert_eq!(known.count(), 256 * 250);
 }
 
 #[test]
-fn silence_unreachable_and_failures_show() {
+fn server_health_reflects_silence_failed_connections_and_failed_attempts() {
     let settings = ServerHealthSettings::default();
     let mut health = ServerHealth::default();
     health.note_sent(0);
@@ -233,7 +240,7 @@
     health.note_left();
     assert!(
         !health.is_unresponsive(&settings, 60_000),
-        "nothing is waited for"
+        "no request is waiting for an answer"
     );
     health.note_unreachable(&settings, 2_000);
     assert!(health.is_unreachable(2_000 + settings.unreachable_ms - 1));
@@ -241,7 +248,7 @@
     health.note_unreachable(&settings, 3_000);
     assert!(
         health.is_unreachable(3_000 + 2 * settings.unreachable_ms - 1),
-        "longer each time"
+        "twice as long after the second failure"
     );
     for _ in 0..10 {
         health.note_outcome(&settings, true, 4_000);
@@ -249,13 +256,14 @@
     assert!(health.failure_share(&settings, 4_000) > 0.7);
     assert!(
         health.failure_share(&settings, 30_000) < 0.01,
-        "forgiven in time"
+        "failures lose their weight over time"
     );
 }
 
-/// The load: many routers with counts that are a second old, one prefix in a fifth of all requests.
+/// Guards against overloaded homes of a prefix that a fifth of all requests share, in a fleet of
+/// many routers whose request counts are a second old.
 #[test]
-fn a_hot_prefix_spreads_over_its_homes_though_counts_are_old() {
+fn a_hot_prefix_spreads_over_its_homes_though_counts_are_outdated() {
     const SERVERS: u64 = 60;
     const HOT_PER_S: u32 = 20;
     let costs = PlacementCosts::default();
@@ -263,7 +271,7 @@
         id: 4_711,
         tokens: 6_000,
     };
-    let mut warm = PrefixIndex::default();
+    let mut prefix_index = PrefixIndex::default();
     for step in 0..u64::from(HOT_PER_S) * 4 {
         let mut sent = advertised_prefix(1, prefix);
         sent.private.push(SentTokens {
@@ -271,18 +279,21 @@
             tokens: 100,
             requests: 5,
         });
-        warm.note_advertised(&sent, step * 50);
+        prefix_index.note_advertised(&sent, step * 50);
     }
-    let share = warm.share_of_sends(prefix.id, 4_000);
-    assert!((0.18..0.22).contains(&share), "{share} of all sends");
+    let share = prefix_index.share_of_sends(prefix.id, 4_000);
+    assert!(
+        (0.18..0.22).contains(&share),
+        "a share of {share} of all requests"
+    );
     let in_flight = 4 * SERVERS as u32;
     let homes = home_count(&costs, share, in_flight, SERVERS as usize);
     let at_home = share * f64::from(in_flight) / homes as f64;
     assert!(
         at_home <= 4.0,
-        "{at_home} requests at a home, the mean of a server is 4"
+        "{at_home} requests at a home, where the mean per server is 4"
     );
-    assert!(homes <= 15, "{homes} copies");
+    assert!(homes <= 15, "{homes} homes");
     let servers = || (0..SERVERS).map(|id| Incarnation(id * 7_919 + 13));
     let mut sent = std::collections::BTreeMap::new();
     for step in 0..HOT_PER_S {
@@ -297,18 +308,18 @@
                 ..candidate(0)
             })
             .collect();
-        let chosen = choose(&candidates).expect("room");
+        let chosen = choose(&candidates).expect("a server is available");
         *sent.entry(chosen).or_insert(0_u32) += 1;
     }
-    let most = sent.values().copied().max().expect("some were sent");
+    let max_sent = sent.values().copied().max().expect("requests were sent");
     assert!(
-        most <= HOT_PER_S / homes as u32 + 1,
-        "{most} of a second at one server"
+        max_sent <= HOT_PER_S / homes as u32 + 1,
+        "{max_sent} of the requests of one second at one server"
     );
     assert_eq!(
         home_count(&costs, 0.01, in_flight, SERVERS as usize),
         1,
-        "a usual prefix has one home"
+        "an ordinary prefix has one home"
     );
 }
 
@@ -326,7 +337,7 @@
     assert_eq!(
         distance("a1", "new"),
         Distance::SameRegion,
-        "not known is not far"
+        "a zone of unknown region counts as near"
     );
     let far = Candidate {
         distance: Distance::OtherRegion,
@@ -344,10 +355,11 @@
     assert_eq!(choose(&[far, busy]), Some(0));
 }
 
-/// The load: 88 routers that all see the same counts of a second ago, 60 servers, 600 short requests in
-/// that second, of which each stays for a second.
+/// Guards against routers that all choose the server with the lowest outdated count. The load is
+/// that of 88 routers with the same counts of a second ago, and 600 requests of a second each to 60
+/// servers.
 #[test]
-fn routers_with_the_same_old_counts_do_not_run_at_one_server() {
+fn routers_with_the_same_outdated_counts_do_not_all_choose_one_server() {
     const SERVERS: usize = 60;
     let costs = PlacementCosts::default();
     let mut state = 42_u64;
@@ -368,30 +380,31 @@
         })
         .collect();
     for _ in 0..600 {
-        let few = compared(&candidates, &mut draw);
-        let chosen = choose_server(&costs, true, 300, &candidates, &few).expect("room");
+        let compared_indices = compared(&candidates, &mut draw);
+        let chosen = choose_server(&costs, true, 300, &candidates, &compared_indices)
+            .expect("a server is available");
         load[chosen] += 1;
     }
-    // Those that were there before end meanwhile.
-    let now: Vec<u32> = load
+    // The requests that ran at the start have ended by then.
+    let added: Vec<u32> = load
         .iter()
         .zip(seen)
         .map(|(load, seen)| load - seen)
         .collect();
-    let most = now.iter().copied().max().expect("servers");
+    let max_added = added.iter().copied().max().expect("there are servers");
     assert!(
-        most <= 2 * 10 + 25,
-        "{most} of 600 requests at one server, the mean is 10"
+        max_added <= 2 * 10 + 25,
+        "{max_added} of 600 requests at one server, where the mean is 10"
     );
-    let crowded: u32 = now.iter().filter(|load| **load > 2 * 10 + 3).sum();
+    let crowded: u32 = added.iter().filter(|load| **load > 2 * 10 + 3).sum();
     assert!(
         crowded <= 600 / 8,
-        "{crowded} of 600 at servers above twice the mean and 3"
+        "{crowded} of 600 requests at servers with more than twice the mean plus 3"
     );
 }
 
 #[test]
-fn with_few_servers_all_are_compared() {
+fn all_servers_of_a_small_pool_are_compared() {
     let candidates: Vec<Candidate> = (0..12).map(candidate).collect();
     assert_eq!(compared(&candidates, || 0.0).len(), 12);
     let many: Vec<Candidate> = (0..60)
@@ -401,30 +414,31 @@
             ..candidate(id)
         })
         .collect();
-    let few = compared(&many, || 0.5);
+    let compared_indices = compared(&many, || 0.5);
     assert_eq!(
-        few,
+        compared_indices,
         [30, 30, 30, 5, 9],
-        "what is drawn, the home, the holder"
+        "the drawn servers, the home, the holder"
     );
 }
 
 #[test]
-fn if_the_compared_ones_are_suspect_or_full_all_are_looked_at() {
+fn all_servers_are_considered_if_the_compared_ones_are_suspect_or_full() {
     let mut many: Vec<Candidate> = (0..60).map(candidate).collect();
     many[30].suspect = true;
     let costs = PlacementCosts::default();
-    let chosen = choose_server(&costs, true, 300, &many, &[30]).expect("room");
+    let chosen = choose_server(&costs, true, 300, &many, &[30]).expect("a server is available");
     assert_ne!(chosen, 30);
     many[30].suspect = false;
     many[30].in_flight = 64;
-    let chosen = choose_server(&costs, true, 300, &many, &[30]).expect("room");
+    let chosen = choose_server(&costs, true, 300, &many, &[30]).expect("a server is available");
     assert_ne!(chosen, 30);
 }
 
-/// Load pattern: a beginning that many prompts share, held by many servers, in a large fleet.
+/// Guards against routers of a large fleet that all choose the least loaded of many holders of a
+/// prefix that many prompts share.
 #[test]
-fn routers_with_the_same_late_counts_do_not_all_take_the_emptiest_holder_of_a_shared_beginning() {
+fn routers_with_the_same_outdated_counts_do_not_all_choose_the_least_loaded_holder() {
     let mut random = 1_u64;
     let mut draw = || {
         random = random
@@ -433,10 +447,10 @@
         (random >> 11) as f64 / (1_u64 << 53) as f64
     };
     let servers = 256;
-    let mut taken = vec![0; servers];
+    let mut requests_at = vec![0; servers];
     for request in 0..512 {
         let candidates = (0..servers).map(|index| Candidate {
-            // One of the holders has just become free.
+            // One of the holders has just become idle.
             in_flight: if index == 7 { 0 } else { 5 },
             prefill_tokens: if index == 7 { 0 } else { 4_000 },
             cached_tokens: if index < 100 { 2_601 } else { 0 },
@@ -444,11 +458,12 @@
             ..candidate(index as u64)
         });
         let candidates: Vec<Candidate> = candidates.collect();
-        let few = compared(&candidates, &mut draw);
+        let compared_indices = compared(&candidates, &mut draw);
         let costs = PlacementCosts::default();
-        let chosen = choose_server(&costs, true, PROMPT_TOKENS, &candidates, &few);
-        taken[chosen.expect("all are open")] += 1;
+        let chosen = choose_server(&costs, true, PROMPT_TOKENS, &candidates, &compared_indices);
+        requests_at[chosen.expect("all servers have capacity")] += 1;
     }
-    // Of 512 requests each draws 3 of 100 holders, and 3 of all: about 1 in 24 meets the empty one.
-    assert!(taken[7] <= 40, "{}", taken[7]);
+    // Each of 512 requests draws 3 of 100 holders and 3 of all servers: about 1 in 24 meets the
+    // idle one.
+    assert!(requests_at[7] <= 40, "{}", requests_at[7]);
 }
--- a/crates/sapphiretrack-routing/tests/prefix_recovery.rs
+++ b/crates/sapphiretrack-routing/tests/prefix_recovery.rs
@@ -1,10 +1,11 @@
-//! A router that starts learns of prompt prefixes from others, or from the servers if all started.
+//! A starting router learns which servers hold which prompt prefixes from other routers, or from
+//! the servers if all routers started at once.
 
 use std::net::SocketAddr;
 
 mod prompts;
 
-use prompts::prompt_of;
+use prompts::request_with_prefixes;
 use sapphiretrack_routing::{
     Incarnation, PrefixIndex, PrefixRecovery, PrefixServing, PrefixStep, PromptPrefix, SentPrompts,
 };
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn one_that_starts_alone_asks_a_router_that_knows() {
+fn a_router_that_starts_alone_asks_one_that_knows_the_prefixes() {
     let recovery = PrefixRecovery::new(false, 1_000);
     let sources = [router(1), router(2)];
     let ask = |draw| recovery.next_step(&sources, 0, draw, 1_010);
@@ -24,12 +25,12 @@
 }
 
 #[test]
-fn when_all_started_the_first_asks_the_servers_and_the_others_wait() {
+fn if_all_routers_started_the_first_asks_the_servers_and_the_others_wait() {
     let recovery = PrefixRecovery::new(false, 1_000);
     assert_eq!(
         recovery.next_step(&[], 0, 0.5, 1_100),
         PrefixStep::Wait,
-        "others may yet speak"
+        "heartbeats of others may still arrive"
     );
     assert_eq!(
         recovery.next_step(&[], 0, 0.5, 1_500),
@@ -39,10 +40,10 @@
 }
 
 #[test]
-fn one_that_was_told_asks_no_more_and_is_asked() {
+fn a_router_that_received_the_prefixes_stops_asking_and_may_be_asked() {
     let mut recovery = PrefixRecovery::new(false, 1_000);
     assert!(!recovery.knows(2_000));
-    assert!(recovery.knows(40_000), "nothing older counts any more");
+    assert!(recovery.knows(40_000), "older prefixes have expired");
     recovery.note_advertised();
     assert!(recovery.knows(2_000));
     assert_eq!(
@@ -51,25 +52,29 @@
     );
     assert!(
         PrefixRecovery::new(true, 1_000).knows(1_000),
-        "at the first start nobody holds any"
+        "no server holds a prefix at the first start"
     );
 }
 
 #[test]
-fn what_is_told_is_the_newest_and_enough_to_find_the_holders() {
+fn the_newest_prefixes_are_sent_and_show_their_holders() {
     let mut old = PrefixIndex::default();
     let prefix = |id| PromptPrefix { id, tokens: 100 };
     for id in 0..500 {
-        old.note_sent(Incarnation(id % 3), &prompt_of(&[prefix(id)]), 1_000 + id);
+        old.note_sent(
+            Incarnation(id % 3),
+            &request_with_prefixes(&[prefix(id)]),
+            1_000 + id,
+        );
     }
-    let told = old.newest(200, 2_000);
-    assert_eq!(told.len(), 200);
+    let newest_sent = old.newest(200, 2_000);
+    assert_eq!(newest_sent.len(), 200);
     let mut new = PrefixIndex::default();
-    let told = SentPrompts {
-        prefixes: told,
+    let newest_sent = SentPrompts {
+        prefixes: newest_sent,
         ..SentPrompts::default()
     };
-    new.note_advertised(&told, 2_000);
+    new.note_advertised(&newest_sent, 2_000);
     assert_eq!(
         new.cached_tokens(Incarnation(499 % 3), &[prefix(499)], 2_000),
         100
@@ -79,33 +84,33 @@
 }
 
 #[test]
-fn a_whole_fleet_that_started_learns_the_prefixes_by_doubling() {
+fn the_prefixes_spread_by_doubling_in_a_fleet_that_started_at_once() {
     use rand::{RngExt, SeedableRng};
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(3);
     let routers = 295;
     let mut serving = vec![PrefixServing::default(); routers];
     let mut knows = vec![false; routers];
     knows[0] = true;
-    let mut most_served = 0;
+    let mut max_served = 0;
     for round in 0..8_u64 {
         let sources: Vec<usize> = (0..routers).filter(|index| knows[*index]).collect();
         let mut served = vec![0; routers];
         let askers = (0..routers).filter(|index| !knows[*index]);
-        let learnt = askers.filter(|_| {
-            let knower = sources[random.random_range(0..sources.len())];
-            let is_served = serving[knower].may_serve(round * 250);
-            served[knower] += u32::from(is_served);
+        let informed = askers.filter(|_| {
+            let source = sources[random.random_range(0..sources.len())];
+            let is_served = serving[source].may_serve(round * 250);
+            served[source] += u32::from(is_served);
             is_served
         });
-        let learnt: Vec<usize> = learnt.collect();
-        for index in learnt {
+        let informed: Vec<usize> = informed.collect();
+        for index in informed {
             knows[index] = true;
         }
-        most_served = served.into_iter().max().unwrap_or(0).max(most_served);
+        max_served = served.into_iter().max().unwrap_or(0).max(max_served);
     }
-    assert!(most_served <= 8, "one link carries {most_served} at a time");
+    assert!(max_served <= 8, "one router serves {max_served} at a time");
     assert!(
         knows.iter().all(|knows| *knows),
-        "all know within two seconds"
+        "all routers know the prefixes within two seconds"
     );
 }
--- a/crates/sapphiretrack-routing/tests/server_memory.rs
+++ b/crates/sapphiretrack-routing/tests/server_memory.rs
@@ -1,10 +1,11 @@
-//! What engines hold whose memory is too small for all that is sent to them.
+//! Estimates of the prefixes that engines hold whose memory is too small for all that is sent to
+//! them.
 
 mod prompts;
 
 use std::collections::HashMap;
 
-use prompts::{prompt_of, prompt_with};
+use prompts::{request_with_prefixes, request_with_private_tokens};
 use sapphiretrack_routing::{Incarnation, PrefixIndex, PromptPrefix, WarmSettings};
 
 const ENGINE: Incarnation = Incarnation(3);
@@ -14,120 +15,153 @@
     PromptPrefix { id, tokens: 10_000 }
 }
 
-fn beliefs(settings: WarmSettings) -> PrefixIndex {
-    let mut warm = PrefixIndex::default();
-    warm.set_settings(settings);
-    warm.set_capacities(HashMap::from([(ENGINE, MEMORY_TOKENS)]), 0);
-    warm
+/// An index that knows one engine, which has a memory of [`MEMORY_TOKENS`].
+fn index_with(settings: WarmSettings) -> PrefixIndex {
+    let mut index = PrefixIndex::default();
+    index.set_settings(settings);
+    index.set_capacities(HashMap::from([(ENGINE, MEMORY_TOKENS)]), 0);
+    index
 }
 
-fn held(warm: &PrefixIndex, prefixes: std::ops::Range<u64>, now_ms: u64) -> Vec<u64> {
-    let is_held = |id: &u64| warm.cached_tokens(ENGINE, &[prefix(*id)], now_ms) > 0;
+/// The prefixes of a range that the engine is expected to hold.
+fn held(index: &PrefixIndex, prefixes: std::ops::Range<u64>, now_ms: u64) -> Vec<u64> {
+    let is_held = |id: &u64| index.cached_tokens(ENGINE, &[prefix(*id)], now_ms) > 0;
     prefixes.filter(is_held).collect()
 }
 
-/// The load: three times as many prefixes in rotation as fit into the memory.
+/// Guards against counting prefixes as held that were evicted: three times as many are in rotation
+/// as fit into the memory.
 #[test]
-fn only_the_prefixes_that_were_used_last_count_as_held() {
-    let mut warm = beliefs(WarmSettings::default());
+fn only_the_most_recently_used_prefixes_count_as_held() {
+    let mut index = index_with(WarmSettings::default());
     for id in 0..30 {
-        warm.note_sent(ENGINE, &prompt_of(&[prefix(id)]), 10_000 + id * 300);
+        index.note_sent(
+            ENGINE,
+            &request_with_prefixes(&[prefix(id)]),
+            10_000 + id * 300,
+        );
     }
     let now_ms = 10_000 + 30 * 300;
-    let now_held = held(&warm, 0..30, now_ms);
-    assert!(now_held.len() <= 10, "{now_held:?} do not fit");
+    let now_held = held(&index, 0..30, now_ms);
+    assert!(
+        now_held.len() <= 10,
+        "{now_held:?} do not fit into the memory"
+    );
     assert!(now_held.len() >= 8, "{now_held:?} leave memory unused");
     assert_eq!(now_held.last(), Some(&29));
-    let mut endless = beliefs(WarmSettings {
+    let mut unbounded = index_with(WarmSettings {
         memory_part: 1_000.0,
         ..WarmSettings::default()
     });
     for id in 0..30 {
-        endless.note_sent(ENGINE, &prompt_of(&[prefix(id)]), 10_000 + id * 300);
+        unbounded.note_sent(
+            ENGINE,
+            &request_with_prefixes(&[prefix(id)]),
+            10_000 + id * 300,
+        );
     }
     assert_eq!(
-        held(&endless, 0..30, now_ms).len(),
+        held(&unbounded, 0..30, now_ms).len(),
         30,
-        "without the bound all count"
+        "all prefixes count without the bound"
     );
 }
 
-/// The load: a prefix in steady use beside prompts that nobody shares.
+/// One prefix is in steady use beside prompts that no other request shares.
 #[test]
-fn private_prompts_push_out_what_is_not_used() {
-    let mut warm = beliefs(WarmSettings::default());
-    warm.note_sent(ENGINE, &prompt_of(&[prefix(1)]), 10_000);
-    warm.note_sent(ENGINE, &prompt_of(&[prefix(2)]), 10_000);
+fn private_prompts_evict_prefixes_that_are_not_used() {
+    let mut index = index_with(WarmSettings::default());
+    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(1)]), 10_000);
+    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(2)]), 10_000);
     for step in 0..40 {
         let now_ms = 10_300 + step * 300;
-        warm.note_sent(ENGINE, &prompt_with(&[prefix(2)], 5_000), now_ms);
+        index.note_sent(
+            ENGINE,
+            &request_with_private_tokens(&[prefix(2)], 5_000),
+            now_ms,
+        );
     }
-    assert_eq!(held(&warm, 1..3, 22_300), [2]);
+    assert_eq!(held(&index, 1..3, 22_300), [2]);
 }
 
 #[test]
-fn other_routers_believe_the_same() {
-    let mut one = beliefs(WarmSettings::default());
-    let mut other = beliefs(WarmSettings::default());
+fn other_routers_have_the_same_estimate() {
+    let mut index_a = index_with(WarmSettings::default());
+    let mut index_b = index_with(WarmSettings::default());
     for id in 0..30 {
         let now_ms = 10_000 + id * 300;
-        one.note_sent(ENGINE, &prompt_with(&[prefix(id)], 2_000), now_ms);
-        other.note_advertised(&one.take_pending(), now_ms);
+        index_a.note_sent(
+            ENGINE,
+            &request_with_private_tokens(&[prefix(id)], 2_000),
+            now_ms,
+        );
+        index_b.note_advertised(&index_a.take_pending(), now_ms);
     }
     let now_ms = 10_000 + 30 * 300;
-    assert_eq!(held(&one, 0..30, now_ms), held(&other, 0..30, now_ms));
-    assert!(held(&one, 0..30, now_ms).len() <= 8);
+    assert_eq!(held(&index_a, 0..30, now_ms), held(&index_b, 0..30, now_ms));
+    assert!(held(&index_a, 0..30, now_ms).len() <= 8);
 }
 
 #[test]
-fn a_changed_memory_counts_at_once() {
-    let mut warm = beliefs(WarmSettings::default());
+fn a_changed_memory_size_takes_effect_at_once() {
+    let mut index = index_with(WarmSettings::default());
     for id in 0..9 {
-        warm.note_sent(ENGINE, &prompt_of(&[prefix(id)]), 10_000 + id * 300);
+        index.note_sent(
+            ENGINE,
+            &request_with_prefixes(&[prefix(id)]),
+            10_000 + id * 300,
+        );
     }
-    assert_eq!(held(&warm, 0..9, 13_000).len(), 9);
-    warm.set_capacities(HashMap::from([(ENGINE, MEMORY_TOKENS / 2)]), 13_000);
-    assert!(held(&warm, 0..9, 13_000).len() <= 5);
+    assert_eq!(held(&index, 0..9, 13_000).len(), 9);
+    index.set_capacities(HashMap::from([(ENGINE, MEMORY_TOKENS / 2)]), 13_000);
+    assert!(held(&index, 0..9, 13_000).len() <= 5);
 }
 
-/// After a pause that is longer than what is remembered, the old slices do not count.
+/// After a pause longer than all recorded time slices, the old slices do not count.
 #[test]
-fn a_long_pause_leaves_nothing_behind() {
-    let mut warm = beliefs(WarmSettings::default());
+fn after_a_long_pause_only_new_prefixes_count() {
+    let mut index = index_with(WarmSettings::default());
     for id in 0..30 {
-        warm.note_sent(ENGINE, &prompt_of(&[prefix(id)]), id * 300);
+        index.note_sent(ENGINE, &request_with_prefixes(&[prefix(id)]), id * 300);
     }
-    warm.note_sent(ENGINE, &prompt_of(&[prefix(100)]), 1_000_000);
-    assert_eq!(held(&warm, 0..101, 1_000_000), [100]);
+    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(100)]), 1_000_000);
+    assert_eq!(held(&index, 0..101, 1_000_000), [100]);
 }
 
-/// The load: a burst that reaches more servers between two heartbeats than a datagram has room for.
+/// Guards against a heartbeat that exceeds one datagram after a burst to many servers.
 #[test]
-fn what_a_heartbeat_tells_is_bounded() {
-    let mut warm = PrefixIndex::default();
+fn the_prefixes_in_a_heartbeat_are_bounded() {
+    let mut index = PrefixIndex::default();
     for id in 0..1_000 {
-        let request = prompt_with(&[prefix(id)], 100);
-        warm.note_sent(Incarnation(id), &request, 10_000);
-        warm.note_sent(Incarnation(id), &request, 10_000);
+        let request = request_with_private_tokens(&[prefix(id)], 100);
+        index.note_sent(Incarnation(id), &request, 10_000);
+        index.note_sent(Incarnation(id), &request, 10_000);
     }
-    let told = warm.take_pending();
+    let pending = index.take_pending();
     assert!(
-        told.prefixes.len() <= 64,
+        pending.prefixes.len() <= 64,
         "{} prefixes",
-        told.prefixes.len()
+        pending.prefixes.len()
+    );
+    assert!(
+        pending.private.len() <= 64,
+        "{} servers",
+        pending.private.len()
+    );
+    assert_eq!(
+        (pending.private[0].tokens, pending.private[0].requests),
+        (200, 2)
     );
-    assert!(told.private.len() <= 64, "{} servers", told.private.len());
-    assert_eq!((told.private[0].tokens, told.private[0].requests), (200, 2));
 }
 
-/// The load: servers that are replaced one after the other all day.
+/// Guards against state that grows while servers are replaced one after the other all day.
 #[test]
-fn servers_that_are_gone_are_forgotten_after_a_while_and_not_at_once() {
-    let mut warm = beliefs(WarmSettings::default());
-    warm.note_sent(ENGINE, &prompt_of(&[prefix(1)]), 10_000);
-    warm.set_capacities(HashMap::new(), 12_000);
-    assert_eq!(held(&warm, 1..2, 12_000), [1], "its entry may come back");
-    warm.set_capacities(HashMap::new(), 50_000);
-    warm.set_capacities(HashMap::from([(ENGINE, MEMORY_TOKENS)]), 50_000);
-    assert_eq!(warm.newest(10, 12_000), [], "nothing is kept of it");
+fn removed_servers_are_forgotten_after_a_delay() {
+    let mut index = index_with(WarmSettings::default());
+    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(1)]), 10_000);
+    index.set_capacities(HashMap::new(), 12_000);
+    assert_eq!(held(&index, 1..2, 12_000), [1], "its entry may come back");
+    index.set_capacities(HashMap::new(), 50_000);
+    index.set_capacities(HashMap::from([(ENGINE, MEMORY_TOKENS)]), 50_000);
+    assert_eq!(index.newest(10, 12_000), [], "no prefix of it is kept");
 }
