--- a/crates/sapphiretrack-routing/tests/freshness.rs
+++ b/crates/sapphiretrack-routing/tests/freshness.rs
@@ -1,47 +1,50 @@
-//! The proof that a configuration is new never claims more than the store said.
+//! The proof of a configuration's freshness never claims more than the store's answers show.
 
 use proptest::prelude::*;
 use sapphiretrack_routing::Freshness;
 
-/// One call: the pause before it, the way there, the store's wait, the way back.
+/// One call in milliseconds: the pause before it, the way to the store, the time at the store, and
+/// the way back.
 type Call = (u64, u64, u64, u64);
 
 proptest! {
     #[test]
-    fn a_proof_is_never_later_than_the_answer_was_made(
+    fn a_proof_is_never_later_than_the_answer_of_the_store(
         calls in prop::collection::vec((0_u64..5_000, 0_u64..800, 0_u64..3_000, 0_u64..800), 1..40),
         offset in 0_u64..1_000_000,
     ) {
         let mut freshness = Freshness::default();
         let mut now_ms = 2_000_000;
-        let mut latest_made_ms = 0;
-        for (pause, there, wait, back) in calls as Vec<Call> {
+        let mut last_answered_ms = 0;
+        for (pause, outbound, at_store, inbound) in calls as Vec<Call> {
             let sent_ms = now_ms + pause;
-            let made_ms = sent_ms + there + wait;
-            now_ms = made_ms + back;
-            latest_made_ms = made_ms;
-            freshness.note_answer(sent_ms, now_ms, made_ms - offset);
-            let age_ms = freshness.age_ms(now_ms).expect("there was an answer");
-            prop_assert!(now_ms - age_ms <= made_ms, "claims a moment after the answer");
-            prop_assert!(now_ms - age_ms >= sent_ms, "forgets what the call proves");
+            let answered_ms = sent_ms + outbound + at_store;
+            now_ms = answered_ms + inbound;
+            last_answered_ms = answered_ms;
+            freshness.note_answer(sent_ms, now_ms, answered_ms - offset);
+            let age_ms = freshness.age_ms(now_ms).expect("an answer was received");
+            prop_assert!(now_ms - age_ms <= answered_ms, "the proof is later than the answer");
+            prop_assert!(now_ms - age_ms >= sent_ms, "the proof is earlier than the call");
         }
-        prop_assert!(freshness.age_ms(now_ms).expect("known") >= now_ms - latest_made_ms);
+        prop_assert!(
+            freshness.age_ms(now_ms).expect("an answer was received") >= now_ms - last_answered_ms
+        );
     }
 
     #[test]
-    fn a_store_clock_that_starts_anew_or_jumps_does_not_make_proofs_younger(
+    fn a_store_clock_that_restarts_or_jumps_does_not_make_proofs_newer(
         before in 10_000_u64..1_000_000,
         after in 0_u64..2_000_000,
     ) {
         let mut freshness = Freshness::default();
         freshness.note_answer(3_000_000, 3_000_004, before);
-        // The next answer is made at 3,010,002 on the local clock.
+        // The next call takes from 3,010,000 to 3,010,004 on the local clock.
         freshness.note_answer(3_010_000, 3_010_004, after);
-        let age_ms = freshness.age_ms(3_010_004).expect("known");
+        let age_ms = freshness.age_ms(3_010_004).expect("an answer was received");
         prop_assert!(age_ms <= 4);
-        // A late answer of a watch that was made before the last one proves nothing more.
+        // A late answer with the store time of the last one proves nothing newer.
         freshness.note_answer(3_010_000, 3_015_000, after);
-        prop_assert!(freshness.age_ms(3_015_000).expect("known") >= 4_990);
+        prop_assert!(freshness.age_ms(3_015_000).expect("an answer was received") >= 4_990);
     }
 }
 
@@ -51,10 +54,10 @@
 }
 
 #[test]
-fn an_open_watch_proves_its_end_once_the_clocks_are_matched() {
+fn a_watch_answer_proves_its_end_once_the_clock_offset_is_known() {
     let mut freshness = Freshness::default();
     freshness.note_answer(1_000, 1_004, 50_002);
     freshness.note_answer(1_010, 4_014, 53_012);
-    let age_ms = freshness.age_ms(4_014).expect("known");
+    let age_ms = freshness.age_ms(4_014).expect("an answer was received");
     assert!(age_ms <= 8, "the proof is {age_ms} ms old");
 }
--- a/crates/sapphiretrack-routing/tests/listing_source.rs
+++ b/crates/sapphiretrack-routing/tests/listing_source.rs
@@ -1,23 +1,23 @@
-//! Fleets of 3 to 1,000 routers read listings with few calls to the store, and in time.
+//! Fleets of 3 to 1,000 routers read a listing in bounded time and with few calls to the store.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sapphiretrack_routing::{Holder, ListingNeed, ListingSource, ListingStep, ListingView};
 
-/// The time of one round of the simulation.
-const ROUND_MS: u64 = 10;
-/// How long a router takes to answer another one.
-const FETCH_MS: u64 = 20;
-/// How long the store takes to answer.
-const STORE_MS: u64 = 10;
-/// Routers that one router can serve at a time.
-const ROOM: usize = 4;
-/// How long a watcher pauses after the store could not answer.
+/// The length of one step of the simulation.
+const STEP_MS: u64 = 10;
+/// The time that a router takes to answer another one.
+const PEER_ANSWER_MS: u64 = 20;
+/// The time that the store takes to answer.
+const STORE_ANSWER_MS: u64 = 10;
+/// Readers that one router can serve in one step.
+const READERS_PER_STEP: usize = 4;
+/// The pause of a watcher after a failed call to the store.
 const WATCHER_PAUSE_MS: u64 = 400;
-/// Routers with watches.
+/// Routers that keep a watch open at the store.
 const WATCHERS: usize = 2;
-/// Heartbeats that a router receives in a round, of a fleet that sends each to 24 in 250 ms.
-const HEARTBEATS: usize = 1;
+/// Heartbeats that a router receives in one step: every 250 ms each router sends one to 24 others.
+const HEARTBEATS_PER_STEP: usize = 1;
 
 fn holder(index: usize) -> Holder {
     Holder {
@@ -31,59 +31,60 @@
 struct Router {
     source: ListingSource,
     has_content: bool,
-    /// Other routers that it knows to have the content.
-    known: Vec<usize>,
-    /// When its question ends, and whom it asked; none for the store.
-    asking: Option<(u64, Option<usize>)>,
-    /// Until when it pauses as a watcher.
+    /// Other routers that have the content, as far as this one knows.
+    known_holders: Vec<usize>,
+    /// When the current call ends, and the router that was asked; none for the store.
+    call: Option<(u64, Option<usize>)>,
+    /// Until when this router pauses as a watcher.
     paused_until_ms: u64,
-    done_ms: u64,
+    /// When this router got the content.
+    completed_ms: u64,
 }
 
-/// What a fleet cost until all routers had the content.
+/// What a simulated fleet needed until every router had the content.
 struct Cost {
     store_calls: usize,
     slowest_ms: u64,
 }
 
-/// Plays a fleet in which the watchers read a change from the store, until all have it.
-fn play(routers: usize, seed: u64, is_store_up: fn(u64) -> bool, peers_answer: bool) -> Cost {
+/// Simulates a fleet whose watchers read a change from the store, until every router has it.
+fn simulate(routers: usize, seed: u64, is_store_up: fn(u64) -> bool, peers_answer: bool) -> Cost {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet: Vec<Router> = (0..routers).map(|_| Router::default()).collect();
     let mut store_calls = 0;
-    for now_ms in (0..60_000).step_by(ROUND_MS as usize) {
+    for now_ms in (0..60_000).step_by(STEP_MS as usize) {
         if fleet.iter().all(|router| router.has_content) {
             break;
         }
         let has_content: Vec<bool> = fleet.iter().map(|router| router.has_content).collect();
         let mut served = vec![0; routers];
         for (index, router) in fleet.iter_mut().enumerate() {
-            for _ in 0..HEARTBEATS {
+            for _ in 0..HEARTBEATS_PER_STEP {
                 let sender = random.random_range(0..routers);
-                if has_content[sender] && !router.known.contains(&sender) {
-                    router.known.push(sender);
+                if has_content[sender] && !router.known_holders.contains(&sender) {
+                    router.known_holders.push(sender);
                 }
             }
             if router.has_content || now_ms < router.paused_until_ms {
                 continue;
             }
-            if let Some((until_ms, peer)) = router.asking {
+            if let Some((until_ms, peer)) = router.call {
                 if now_ms < until_ms {
                     continue;
                 }
-                router.asking = None;
+                router.call = None;
                 let is_answered = match peer {
                     None => is_store_up(now_ms),
                     Some(peer) => {
                         served[peer] += 1;
-                        peers_answer && served[peer] <= ROOM
+                        peers_answer && served[peer] <= READERS_PER_STEP
                     }
                 };
                 let draw = random.random();
                 match (is_answered, peer) {
                     (true, _) => {
                         router.has_content = true;
-                        router.done_ms = now_ms;
+                        router.completed_ms = now_ms;
                         continue;
                     }
                     (false, Some(_)) => router.source.note_peer_failure(draw, now_ms),
@@ -96,7 +97,11 @@
                     }
                 }
             }
-            let holders: Vec<Holder> = router.known.iter().map(|one| holder(*one)).collect();
+            let holders: Vec<Holder> = router
+                .known_holders
+                .iter()
+                .map(|one| holder(*one))
+                .collect();
             let step = router.source.step(&ListingView {
                 need: ListingNeed::Content,
                 is_watcher: index < WATCHERS,
@@ -107,26 +112,33 @@
                 draw: random.random(),
                 now_ms,
             });
-            router.asking = match step {
+            router.call = match step {
                 ListingStep::Wait { until_ms } => {
-                    assert!(until_ms >= now_ms, "a wait ends in the future");
+                    assert!(until_ms >= now_ms, "a wait does not end in the past");
                     None
                 }
                 ListingStep::Peer(peer) => {
-                    let asked = router.known.iter().find(|one| holder(**one) == peer);
-                    Some((now_ms + FETCH_MS, asked.copied()))
+                    let asked = router
+                        .known_holders
+                        .iter()
+                        .find(|one| holder(**one) == peer);
+                    Some((now_ms + PEER_ANSWER_MS, asked.copied()))
                 }
                 ListingStep::Store => {
                     store_calls += 1;
-                    Some((now_ms + STORE_MS, None))
+                    Some((now_ms + STORE_ANSWER_MS, None))
                 }
             };
         }
     }
-    let slowest_ms = fleet.iter().map(|router| router.done_ms).max().unwrap_or(0);
+    let slowest_ms = fleet
+        .iter()
+        .map(|router| router.completed_ms)
+        .max()
+        .unwrap_or(0);
     assert!(
         fleet.iter().all(|router| router.has_content),
-        "some never had it"
+        "some router never got the content"
     );
     Cost {
         store_calls,
@@ -135,14 +147,14 @@
 }
 
 #[test]
-fn a_cold_start_or_a_change_costs_few_calls_whatever_the_size() {
+fn a_cold_start_or_a_change_takes_few_store_calls_in_a_fleet_of_any_size() {
     for routers in [3, 9, 89, 295, 1_000] {
         for seed in 0..5 {
-            let cost = play(routers, seed, |_| true, true);
+            let cost = simulate(routers, seed, |_| true, true);
             let limit = WATCHERS + routers / 20;
             assert!(
                 cost.store_calls <= limit,
-                "{routers} routers, seed {seed}: {} calls",
+                "{routers} routers, seed {seed}: {} store calls",
                 cost.store_calls
             );
             assert!(
@@ -155,14 +167,15 @@
 }
 
 #[test]
-fn an_outage_is_probed_by_few_and_ends_soon_for_all() {
+fn few_routers_probe_the_store_in_an_outage_and_all_recover_soon_after() {
     for routers in [9, 295, 1_000] {
-        let cost = play(routers, 1, |now_ms| now_ms >= 8_000, true);
-        let of_watchers = WATCHERS * 12_000 / WATCHER_PAUSE_MS as usize;
-        // The others together probe eight times a second, and once more where a delay ends late.
+        let cost = simulate(routers, 1, |now_ms| now_ms >= 8_000, true);
+        let watcher_calls = WATCHERS * 12_000 / WATCHER_PAUSE_MS as usize;
+        // All other routers together probe eight times per second; those whose delay ends late call
+        // once more.
         assert!(
-            cost.store_calls <= of_watchers + 12 * 8 + routers / 20,
-            "{routers} routers: {} calls",
+            cost.store_calls <= watcher_calls + 12 * 8 + routers / 20,
+            "{routers} routers: {} store calls",
             cost.store_calls
         );
         assert!(
@@ -174,21 +187,21 @@
 }
 
 #[test]
-fn where_no_router_answers_the_store_is_asked_in_time() {
-    let cost = play(9, 3, |_| true, false);
+fn the_store_is_asked_in_time_if_no_router_answers() {
+    let cost = simulate(9, 3, |_| true, false);
     assert!(cost.slowest_ms <= 2_000, "{} ms", cost.slowest_ms);
 }
 
-/// Load pattern: a large configuration while the store turns this router away and the routers that
-/// have it are busy.
+/// Guards against a router that gives up on a large configuration while the store refuses its calls
+/// and all routers that have the configuration are busy.
 #[test]
-fn a_change_is_asked_for_on_and_on_while_the_store_fails_and_the_holders_are_busy() {
+fn a_router_keeps_asking_while_the_store_fails_and_the_holders_are_busy() {
     for live in [8, 88, 294, 999] {
         let mut random = ChaCha8Rng::seed_from_u64(4);
         let mut source = ListingSource::default();
         let holders = [holder(1), holder(2)];
-        let (mut peers, mut stores, mut last_peer_ms, mut longest_ms) = (0, 0, 0, 0);
-        for now_ms in (0..3_000).step_by(ROUND_MS as usize) {
+        let (mut peer_calls, mut store_calls, mut last_peer_ms, mut longest_gap_ms) = (0, 0, 0, 0);
+        for now_ms in (0..3_000).step_by(STEP_MS as usize) {
             let step = source.step(&ListingView {
                 holders: &holders,
                 live,
@@ -198,27 +211,33 @@
             match step {
                 ListingStep::Wait { .. } => continue,
                 ListingStep::Peer(_) => {
-                    peers += 1;
-                    longest_ms = longest_ms.max(now_ms - last_peer_ms);
+                    peer_calls += 1;
+                    longest_gap_ms = longest_gap_ms.max(now_ms - last_peer_ms);
                     last_peer_ms = now_ms;
                     source.note_peer_failure(random.random(), now_ms);
                 }
                 ListingStep::Store => {
-                    stores += 1;
+                    store_calls += 1;
                     source.note_store_failure(live, random.random(), now_ms);
                 }
             }
         }
         assert!(
-            longest_ms <= 300,
-            "{live}: no holder asked for {longest_ms} ms"
+            longest_gap_ms <= 300,
+            "{live} live routers: no holder asked for {longest_gap_ms} ms"
         );
         assert!(
             last_peer_ms >= 2_700,
-            "{live}: given up at {last_peer_ms} ms"
+            "{live} live routers: given up at {last_peer_ms} ms"
+        );
+        assert!(
+            (2..=7).contains(&store_calls),
+            "{live} live routers: {store_calls} store calls in 3 s"
+        );
+        assert!(
+            peer_calls <= 80,
+            "{live} live routers: {peer_calls} calls to holders in 3 s"
         );
-        assert!((2..=7).contains(&stores), "{live}: {stores} calls in 3 s");
-        assert!(peers <= 80, "{live}: {peers} questions in 3 s");
     }
 }
 
@@ -236,26 +255,26 @@
 }
 
 #[test]
-fn one_that_is_cut_off_from_the_others_asks_the_store_at_once_and_then_seldom() {
+fn an_isolated_router_asks_the_store_at_once_and_rarely_afterwards() {
     let mut source = ListingSource::default();
-    let cut_off = |now_ms| ListingView {
+    let isolated = |now_ms| ListingView {
         is_connected: false,
         live: 0,
         ..view(ListingNeed::Proof, now_ms)
     };
-    assert_eq!(source.step(&cut_off(0)), ListingStep::Store);
+    assert_eq!(source.step(&isolated(0)), ListingStep::Store);
     source.note_store_failure(0, 0.5, 10);
-    let step = source.step(&cut_off(20));
+    let step = source.step(&isolated(20));
     assert!(matches!(step, ListingStep::Wait { until_ms } if until_ms >= 500));
-    assert_eq!(source.step(&cut_off(2_000)), ListingStep::Store);
+    assert_eq!(source.step(&isolated(2_000)), ListingStep::Store);
 }
 
 #[test]
-fn without_proofs_a_large_fleet_probes_a_few_times_a_second() {
+fn without_proofs_a_large_fleet_probes_the_store_a_few_times_per_second() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut sources = vec![ListingSource::default(); 294];
     let mut probes = 0;
-    for now_ms in (0..10_000).step_by(ROUND_MS as usize) {
+    for now_ms in (0..10_000).step_by(STEP_MS as usize) {
         for source in &mut sources {
             let step = source.step(&ListingView {
                 draw: random.random(),
@@ -267,12 +286,13 @@
             }
         }
     }
-    assert!((40..=120).contains(&probes), "{probes} in 10 s");
+    assert!((40..=120).contains(&probes), "{probes} probes in 10 s");
 }
 
-/// Load pattern: hundreds of routers start at once, and each waits for the store to write its row.
+/// Guards against hundreds of routers that start at once and ask the store for proofs while it
+/// still has to write their rows.
 #[test]
-fn a_router_that_has_not_found_the_others_leaves_proofs_to_the_list_of_routers() {
+fn a_router_waits_for_the_list_of_routers_before_it_asks_for_a_proof() {
     for is_watcher in [true, false] {
         let mut source = ListingSource::default();
         let starting = |now_ms| ListingView {
@@ -282,20 +302,20 @@
             live: 0,
             ..view(ListingNeed::Proof, now_ms)
         };
-        for now_ms in (0..1_500).step_by(ROUND_MS as usize) {
+        for now_ms in (0..1_500).step_by(STEP_MS as usize) {
             let step = source.step(&starting(now_ms));
             assert!(
                 matches!(step, ListingStep::Wait { until_ms } if until_ms > now_ms),
                 "{now_ms} ms: {step:?}"
             );
         }
-        // The store does not write the row: whether it answers at all shows by a probe.
+        // The row is still missing: only a probe shows whether the store answers at all.
         assert_eq!(source.step(&starting(1_500)), ListingStep::Store);
     }
     let mut source = ListingSource::default();
-    let found = ListingView {
+    let discovered = ListingView {
         is_watcher: true,
         ..view(ListingNeed::Proof, 100)
     };
-    assert_eq!(source.step(&found), ListingStep::Store);
+    assert_eq!(source.step(&discovered), ListingStep::Store);
 }
--- a/crates/sapphiretrack-routing/tests/server_list.rs
+++ b/crates/sapphiretrack-routing/tests/server_list.rs
@@ -1,4 +1,5 @@
-//! Backend servers: leaving outranks ready, and lapsed entries may come back.
+//! The list of backend servers: draining is final, and entries that expired in an outage may come
+//! back.
 
 use std::sync::Arc;
 
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_server_that_started_again_under_its_id_is_another_one() {
+fn a_server_restarted_under_the_same_id_is_another_incarnation() {
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Draining));
     list.upsert(entry("a", 2, ServerState::Ready));
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_during_an_outage_have_time_to_come_back() {
+fn entries_that_expired_in_an_outage_have_time_to_come_back() {
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Ready));
     list.upsert(entry("b", 1, ServerState::Ready));
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_snapshot_for_other_routers_leaves_out_what_the_store_does_not_list() {
+fn a_snapshot_for_other_routers_omits_entries_that_the_store_does_not_list() {
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Ready));
     list.upsert(entry("b", 1, ServerState::Ready));
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn one_that_came_back_stays() {
+fn an_entry_that_came_back_stays() {
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Ready));
     list.note_store_back(10_000);
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn without_an_outage_a_removed_entry_counts_at_once() {
+fn without_an_outage_a_removal_takes_effect_at_once() {
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Ready));
     assert!(list.remove("a", 5_000));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn routers_that_advertise_a_recovery_to_each_other_come_to_an_end() {
+fn repeated_adverts_of_a_recovery_do_not_delay_the_removal_of_entries() {
     let mut lists = [
         ServerList::default(),
         ServerList::default(),
@@ -106,7 +107,7 @@
     let mut dropped_ms = [None; 3];
     for now_ms in (10_000..20_000).step_by(50) {
         for (index, list) in lists.iter_mut().enumerate() {
-            // The time of the recovery is advertised for ever.
+            // Routers keep advertising the time of the recovery.
             list.note_peer_recovery(10_000);
             list.remove("a", now_ms);
             list.settle(now_ms);
@@ -116,31 +117,31 @@
         }
     }
     for (index, dropped_ms) in dropped_ms.into_iter().enumerate() {
-        let dropped_ms = dropped_ms.expect("a server that is gone is dropped");
+        let dropped_ms = dropped_ms.expect("a removed server is dropped");
         assert!(
             dropped_ms >= 11_800,
-            "router {index} gave entries no time to come back"
+            "router {index} did not wait for entries to come back"
         );
         assert!(
             dropped_ms <= 12_400,
-            "router {index} kept a server until {dropped_ms}"
+            "router {index} kept a server until {dropped_ms} ms"
         );
     }
 }
 
 proptest! {
-    /// Whatever order news come in: once an incarnation was seen draining it is never listed.
+    /// In any order of updates, an incarnation is never listed once it was seen draining.
     #[test]
     fn draining_is_final(steps in prop::collection::vec((0_u8..5, 0_u64..3, any::<bool>()), 1..60)) {
         let mut list = ServerList::default();
         let mut drained = std::collections::BTreeSet::new();
-        for (index, (step, started_ms, drains)) in steps.into_iter().enumerate() {
+        for (index, (step, started_ms, is_draining)) in steps.into_iter().enumerate() {
             let now_ms = index as u64 * 700;
-            let state = if drains { ServerState::Draining } else { ServerState::Ready };
+            let state = if is_draining { ServerState::Draining } else { ServerState::Ready };
             match step {
                 0 | 1 => {
                     list.upsert(entry("a", started_ms, state));
-                    if drains {
+                    if is_draining {
                         drained.insert(started_ms);
                     }
                 }
--- a/crates/sapphiretrack-routing/tests/watch_state.rs
+++ b/crates/sapphiretrack-routing/tests/watch_state.rs
@@ -1,9 +1,10 @@
-//! What routers learn of the store from each other never claims more than the store said.
+//! What routers learn about a listing from each other never claims more than the store's answers
+//! show.
 
 use proptest::prelude::*;
 use sapphiretrack_routing::{ListingAdvert, WatchAnswer, WatchState};
 
-/// A store whose versions rise at known times of its clock.
+/// A simulated store that knows the time of each version.
 #[derive(Default)]
 struct Store {
     /// Version, time, and whether a record was removed.
@@ -33,8 +34,8 @@
 }
 
 proptest! {
-    /// Router 0 asks the store, the others mostly hear of it. Clocks differ, heartbeats come late and
-    /// in any order. A router that claims an age must know all changes up to that moment.
+    /// Routers ask the store or receive adverts of others. Their clocks differ, and adverts arrive
+    /// late and in any order. A router that claims an age must know all changes up to that moment.
     #[test]
     fn no_router_claims_to_be_newer_than_it_is(
         steps in prop::collection::vec((0_u8..6, 0_usize..3, 1_u64..400, 0_usize..8), 1..200),
@@ -42,21 +43,21 @@
         let offsets = [5_000_u64, 900_000, 70_000];
         let mut store = Store::default();
         let mut routers = [WatchState::default(), WatchState::default(), WatchState::default()];
-        let mut heartbeats = Vec::new();
+        let mut adverts = Vec::new();
         let mut store_ms = 10_000;
-        for (step, router, pause_ms, pick) in steps {
+        for (step, router, pause_ms, selector) in steps {
             store_ms += pause_ms;
             let local_ms = store_ms + offsets[router];
             match step {
-                0 => store.changes.push((store.version() + 3, store_ms, pick % 2 == 0)),
+                0 => store.changes.push((store.version() + 3, store_ms, selector % 2 == 0)),
                 1 => {
                     let answer = store.answer(&routers[router], local_ms, store_ms);
                     routers[router].note_answer(&answer);
                 }
-                2 | 3 => heartbeats.push(routers[router].advert()),
-                _ if heartbeats.is_empty() => {}
+                2 | 3 => adverts.push(routers[router].advert()),
+                _ if adverts.is_empty() => {}
                 _ => {
-                    let advert = heartbeats[pick % heartbeats.len()];
+                    let advert = adverts[selector % adverts.len()];
                     routers[router].note_advert(&advert, local_ms);
                 }
             }
@@ -64,14 +65,15 @@
                 let Some(age_ms) = state.age_ms(store_ms + offset) else {
                     continue;
                 };
-                // The bound on the clocks is off by the way of a call at most, to the safe side.
+                // The clock offset errs by at most the network time of a call, and only towards a
+                // larger age.
                 let claimed_ms = store_ms - age_ms;
                 let known = state.version().unwrap_or(0);
                 let missed = store.changes.iter().find(|(version, ..)| *version > known);
                 if let Some((version, changed_ms, _)) = missed {
                     prop_assert!(
                         *changed_ms >= claimed_ms,
-                        "claims {claimed_ms}, misses version {version} of {changed_ms}"
+                        "claims {claimed_ms} ms, misses version {version} of {changed_ms} ms"
                     );
                 }
             }
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn one_that_lacks_a_change_asks_and_one_that_has_it_does_not() {
+fn only_a_router_that_lacks_a_change_has_to_read_it() {
     let mut watcher = WatchState::default();
     let mut other = WatchState::default();
     let answer = WatchAnswer {
@@ -115,12 +117,12 @@
     assert!(other.is_behind());
     assert!(
         other.age_ms(1_510).expect("known") > 380,
-        "the old proof stays, no newer one counts"
+        "the old proof stays and no newer one counts"
     );
 }
 
 #[test]
-fn a_recovery_is_a_time_that_passing_on_does_not_prolong() {
+fn repeated_adverts_do_not_change_the_time_of_a_recovery() {
     let mut watcher = WatchState::default();
     let mut follower = WatchState::default();
     for state in [&mut watcher, &mut follower] {
@@ -128,7 +130,7 @@
         assert_eq!(state.recovered_ms(), None);
     }
     watcher.note_recovery(52_002);
-    // They advertise it to each other again and again, also long after.
+    // They keep advertising it to each other, also long afterwards.
     for local_ms in (2_000..9_000).step_by(250) {
         let (one, other) = (watcher.advert(), follower.advert());
         follower.note_advert(&one, local_ms);
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn changes_count_after_the_last_one_though_the_store_moved_on_for_other_listings() {
+fn changes_follow_the_last_one_though_other_listings_raised_the_store_version() {
     let answer = |version, changed_version| WatchAnswer {
         may_hide_removals: false,
         sent_ms: 100,
@@ -165,7 +167,7 @@
 }
 
 #[test]
-fn a_listing_of_another_router_claims_what_that_router_proved() {
+fn a_listing_of_another_router_carries_the_proof_of_that_router() {
     let mut holder = WatchState::default();
     holder.note_answer(&WatchAnswer {
         may_hide_removals: true,
@@ -178,18 +180,21 @@
     let mut starting = WatchState::default();
     assert!(
         starting.note_advert(&holder.advert(), 900),
-        "it lacks the listing"
+        "the starting router lacks the listing"
     );
     starting.note_clock(850, 854, 50_852);
     assert!(starting.note_snapshot(10, &holder.advert(), 1_000));
     let age_ms = starting.age_ms(1_000).expect("proven");
     assert!(
         (896..=902).contains(&age_ms),
-        "of the holder's call: {age_ms}"
+        "the age of the holder's call: {age_ms} ms"
+    );
+    assert!(
+        !starting.note_snapshot(9, &holder.advert(), 1_000),
+        "the listing is older"
     );
-    assert!(!starting.note_snapshot(9, &holder.advert(), 1_000), "older");
     assert!(!starting.is_behind());
-    // The listing may come before the store's clock is known.
+    // The listing may arrive before the store's clock is known.
     let mut early = WatchState::default();
     assert!(early.note_snapshot(10, &holder.advert(), 1_000));
     assert_eq!(early.age_ms(1_000), None);
@@ -197,12 +202,12 @@
     let age_ms = early.age_ms(1_014).expect("proven");
     assert!(
         (908..=916).contains(&age_ms),
-        "of the holder's call: {age_ms}"
+        "the age of the holder's call: {age_ms} ms"
     );
 }
 
 #[test]
-fn changes_that_are_passed_on_count_once_and_without_a_gap() {
+fn forwarded_changes_are_accepted_once_and_without_gaps() {
     let mut state = WatchState::default();
     assert!(
         !state.note_changes(0, 5, 1_000),
@@ -228,8 +233,11 @@
     );
     assert!(state.is_behind());
     assert!(state.note_changes(9, 12, 1_000));
-    assert!(!state.is_behind(), "the store need not be asked");
-    assert!(!state.note_changes(9, 12, 1_000), "once is enough");
+    assert!(!state.is_behind(), "there is no need to ask the store");
+    assert!(
+        !state.note_changes(9, 12, 1_000),
+        "the same changes are accepted only once"
+    );
     assert!(
         !state.note_changes(10, 11, 1_000),
         "older ones would undo newer ones"
@@ -237,7 +245,7 @@
 }
 
 #[test]
-fn the_store_was_not_away_while_others_reached_it() {
+fn a_failure_is_not_an_outage_while_other_routers_reach_the_store() {
     let answer = |sent_ms, store_now_ms| WatchAnswer {
         may_hide_removals: false,
         sent_ms,
@@ -246,28 +254,33 @@
         changed_version: None,
         store_now_ms,
     };
-    let mut cut_off = WatchState::default();
-    cut_off.note_answer(&answer(1_000, 51_002));
-    let mut alone = cut_off.clone();
-    assert!(cut_off.note_failure(2_000));
-    assert!(!cut_off.note_failure(3_000), "told once");
-    alone.note_failure(2_000);
-    // Another router reaches the store again and again, and tells of it.
+    let mut with_peers = WatchState::default();
+    with_peers.note_answer(&answer(1_000, 51_002));
+    let mut without_peers = with_peers.clone();
+    assert!(with_peers.note_failure(2_000));
+    assert!(!with_peers.note_failure(3_000), "reported once");
+    without_peers.note_failure(2_000);
+    // Another router keeps reaching the store and advertises its proofs.
     for local_ms in (3_000..8_000).step_by(250) {
         let advert = ListingAdvert {
             changed_version: 10,
             proven_store_ms: Some(local_ms + 50_000 - 20),
             recovered_store_ms: None,
         };
-        assert!(!cut_off.note_advert(&advert, local_ms));
+        assert!(!with_peers.note_advert(&advert, local_ms));
     }
-    let outage_ms = cut_off.note_answer(&answer(8_000, 58_002));
+    let outage_ms = with_peers.note_answer(&answer(8_000, 58_002));
     assert_eq!(outage_ms, 0);
-    assert!(alone.note_answer(&answer(8_000, 58_002)) > 5_900);
-    assert_eq!(alone.note_answer(&answer(9_000, 59_002)), 0, "it is over");
+    assert!(without_peers.note_answer(&answer(8_000, 58_002)) > 5_900);
+    assert_eq!(
+        without_peers.note_answer(&answer(9_000, 59_002)),
+        0,
+        "the outage is over"
+    );
 }
 
-/// A router that knows version 10, proven at the local time 1,002, and an advert of a newer one.
+/// A router that knows version 10, proven by a call from 1,000 to 1,004 ms of local time, and an
+/// advert of a newer version.
 fn behind_router() -> (WatchState, ListingAdvert) {
     let mut state = WatchState::default();
     state.note_answer(&WatchAnswer {
@@ -286,16 +299,16 @@
     (state, newer)
 }
 
-/// Guards against decisions by a version that is known to be replaced.
+/// Guards against decisions based on a version that is known to be outdated.
 #[test]
-fn what_is_known_to_be_replaced_is_used_within_the_bound_only() {
+fn an_outdated_version_is_used_only_within_the_bound() {
     let (mut state, newer) = behind_router();
     assert!(state.is_usable(9_000, 2_000), "nothing newer is known");
     state.note_advert(&newer, 1_600);
     let proven_ms = 1_600 - state.age_ms(1_600).expect("proven");
     assert!(state.is_usable(proven_ms + 1_999, 2_000));
     assert!(!state.is_usable(proven_ms + 2_000, 2_000));
-    // Another version right behind it gives no more time, nor does its proof.
+    // Neither a further version nor its proof extends the time.
     let later = ListingAdvert {
         changed_version: 16,
         proven_store_ms: Some(51_700),
@@ -303,14 +316,15 @@
     };
     state.note_advert(&later, 2_700);
     assert!(!state.is_usable(proven_ms + 2_000, 2_000));
-    // The first of the two is not the newest.
+    // The first of the two versions is not the newest.
     state.note_snapshot(13, &newer, 3_000);
     assert!(state.is_behind());
     state.note_snapshot(16, &later, 3_100);
     assert!(state.is_usable(9_000, 2_000));
 }
 
-/// Guards against a whole fleet that refuses while it reads what changed in an outage of the store.
+/// Guards against a whole fleet that refuses requests while it reads what changed in an outage of
+/// the store.
 #[test]
 fn a_router_that_learns_of_a_change_after_an_outage_has_time_to_read_it() {
     let (mut state, newer) = behind_router();
@@ -320,12 +334,16 @@
     for now_ms in [9_100, 9_200, 9_400] {
         state.note_advert(&newer, now_ms);
     }
-    assert!(!state.is_usable(9_500, 2_000), "repeats give no more time");
+    assert!(
+        !state.is_usable(9_500, 2_000),
+        "repeated adverts do not extend the time"
+    );
 }
 
-/// Guards against a lost history that makes a router forget that it is behind.
+/// Guards against a router that forgets that it is behind when the store has lost the history of
+/// changes.
 #[test]
-fn a_router_whose_history_was_lost_still_knows_what_it_lacks() {
+fn a_router_that_forgot_its_version_still_knows_that_it_is_behind() {
     let (mut state, newer) = behind_router();
     state.forget_version();
     state.note_advert(&newer, 1_600);
