--- a/crates/sapphiretrack-routing/tests/crash_evidence.rs
+++ b/crates/sapphiretrack-routing/tests/crash_evidence.rs
@@ -1,4 +1,5 @@
-//! Evidence against requests that crash servers: what routers agree on, under loss, and its bounds.
+//! Crash evidence: routers agree on requests that crash servers even if messages are lost, and the
+//! state is bounded.
 
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -17,8 +18,8 @@
     }
 }
 
-fn fingerprint(number: u64) -> Fingerprint {
-    Fingerprint::of(&identity(&number.to_le_bytes()))
+fn fingerprint(request: u64) -> Fingerprint {
+    Fingerprint::of(&identity(&request.to_le_bytes()))
 }
 
 fn record(request: u64, server: u64, is_void: bool) -> CrashRecord {
@@ -30,7 +31,7 @@
     }
 }
 
-/// What an evidence says, without ages.
+/// The records without their ages, sorted.
 fn content(evidence: &CrashEvidence) -> Vec<(Fingerprint, u64, bool)> {
     let records = evidence.records(1, usize::MAX, 0);
     let mut content: Vec<_> = records
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn copies_share_a_fingerprint_and_nothing_else_does() {
+fn only_identical_requests_share_a_fingerprint() {
     let one = identity(b"body");
     let others = [
         RequestIdentity {
@@ -65,7 +66,7 @@
             body: b"bodY",
             ..one
         },
-        // The same bytes, parted elsewhere.
+        // The same bytes, split elsewhere between caller and method.
         RequestIdentity {
             caller: "tenantP",
             method: "OST",
@@ -85,16 +86,19 @@
     fn records()(
         records in prop::collection::vec((0_u64..4, 0_u64..5, any::<bool>()), 0..24),
     ) -> Vec<CrashRecord> {
-        records.into_iter().map(|(request, server, void)| record(request, server, void)).collect()
+        records
+            .into_iter()
+            .map(|(request, server, is_void)| record(request, server, is_void))
+            .collect()
     }
 }
 
 proptest! {
     #[test]
     fn merging_is_commutative_associative_and_idempotent(
-        one in records(),
-        other in records(),
-        third in records(),
+        records_a in records(),
+        records_b in records(),
+        records_c in records(),
     ) {
         let merged = |parts: &[&[CrashRecord]]| {
             let mut evidence = CrashEvidence::default();
@@ -103,12 +107,15 @@
             }
             evidence
         };
-        let whole = merged(&[&one, &other, &third]);
-        prop_assert_eq!(content(&whole), content(&merged(&[&third, &other, &one])));
-        prop_assert_eq!(content(&whole), content(&merged(&[&one, &other, &one, &third, &other])));
-        // What two routers know together, told to the third.
-        let pair = merged(&[&other, &third]).records(1, usize::MAX, 0);
-        let grouped = merged(&[&one, &pair]);
+        let whole = merged(&[&records_a, &records_b, &records_c]);
+        prop_assert_eq!(content(&whole), content(&merged(&[&records_c, &records_b, &records_a])));
+        prop_assert_eq!(
+            content(&whole),
+            content(&merged(&[&records_a, &records_b, &records_a, &records_c, &records_b]))
+        );
+        // The merged records of two routers, sent to the third.
+        let pair = merged(&[&records_b, &records_c]).records(1, usize::MAX, 0);
+        let grouped = merged(&[&records_a, &pair]);
         prop_assert_eq!(content(&whole), content(&grouped));
         let digest = |evidence: &CrashEvidence| CrashRecord::digest(&evidence.records(1, usize::MAX, 0));
         prop_assert_eq!(digest(&whole), digest(&grouped));
@@ -117,7 +124,7 @@
     #[test]
     fn a_request_that_was_answered_after_its_crashes_is_not_refused(
         before in records(),
-        late in records(),
+        later in records(),
         request in 0_u64..4,
     ) {
         let mut evidence = CrashEvidence::default();
@@ -129,27 +136,27 @@
         other.merge(&before, 0);
         other.merge(&voided, 0);
         prop_assert_eq!(other.crashes(fingerprint(request)), 0);
-        // What was known comes again, from a router that knows of no answer.
+        // The same records arrive again from a router that does not know of the answer.
         evidence.merge(&before, 0);
         prop_assert_eq!(evidence.crashes(fingerprint(request)), 0);
-        // Only crashes of other servers count from then on.
-        evidence.merge(&late, 0);
+        // From then on only crashes of other servers count.
+        evidence.merge(&later, 0);
         let known = |server: u64| before.iter().any(|one| {
             one.fingerprint == fingerprint(request) && one.server == server
         });
-        let mut fresh: Vec<u64> = late
+        let mut new_servers: Vec<u64> = later
             .iter()
             .filter(|one| one.fingerprint == fingerprint(request) && !known(one.server))
             .map(|one| one.server)
             .collect();
-        fresh.sort_unstable();
-        fresh.dedup();
-        prop_assert!(evidence.crashes(fingerprint(request)) <= fresh.len());
+        new_servers.sort_unstable();
+        new_servers.dedup();
+        prop_assert!(evidence.crashes(fingerprint(request)) <= new_servers.len());
     }
 }
 
 #[test]
-fn crashes_count_by_server_and_expire_by_their_age_not_by_their_repeats() {
+fn crashes_count_once_per_server_and_repeats_do_not_delay_their_expiry() {
     let mut evidence = CrashEvidence::default();
     let request = fingerprint(1);
     for server in [1, 2, 2, 1] {
@@ -159,7 +166,7 @@
     assert!(evidence.may_know(request.outline));
     let end_ms = 1_000 + CrashEvidence::KEPT_MS;
     let mut other = CrashEvidence::default();
-    // Two routers send it to each other all the time.
+    // Two routers keep sending the records to each other.
     for now_ms in (2_000..end_ms).step_by(60_000) {
         other.merge(&evidence.records(1, usize::MAX, now_ms), now_ms);
         evidence.merge(&other.records(1, usize::MAX, now_ms), now_ms);
@@ -175,19 +182,19 @@
 }
 
 #[test]
-fn a_flood_of_requests_that_crash_is_bounded_and_drops_the_least_evidence() {
+fn the_number_of_requests_is_bounded_and_those_with_the_fewest_crashes_are_dropped() {
     let mut evidence = CrashEvidence::default();
     for server in 0..MAX_CRASHES as u64 {
         evidence.note_crash(fingerprint(0), server, 5);
     }
     let flood = 3 * CrashEvidence::MAX_REQUESTS as u64;
-    for number in 1..flood {
-        evidence.note_crash(fingerprint(number), 7, 10 + number);
+    for request in 1..flood {
+        evidence.note_crash(fingerprint(request), 7, 10 + request);
     }
     let kept = evidence.records(1, usize::MAX, flood);
     assert!(kept.len() <= CrashEvidence::MAX_REQUESTS + MAX_CRASHES);
     assert_eq!(evidence.crashes(fingerprint(0)), MAX_CRASHES);
-    assert_eq!(evidence.crashes(fingerprint(1)), 0, "the oldest");
+    assert_eq!(evidence.crashes(fingerprint(1)), 0, "the oldest is dropped");
     assert_eq!(evidence.crashes(fingerprint(flood - 1)), 1);
     assert_eq!(
         evidence.records(1, MAX_CRASHES, flood)[0].fingerprint,
@@ -199,53 +206,56 @@
     assert!(evidence.crashes(fingerprint(0)) <= CrashEvidence::MAX_SERVERS);
 }
 
-const STEWARDS: usize = 3;
+/// Routers that receive the first crash record of a request.
+const KEY_OWNERS: usize = 3;
 const STEP_MS: u64 = 20;
-/// When a message is sent, after the first time.
-const REPEATS_MS: [u64; 4] = [0, 100, 400, 1_300];
+/// The delays after which a message is sent: at once, and three more times against loss.
+const SEND_DELAYS_MS: [u64; 4] = [0, 100, 400, 1_300];
 
-/// Routers that tell each other, as the program does: the stewards of a request of its first crash, all of what
-/// is known from the second one on, each time four times within 1.3 s, and two others each quarter of a
-/// second what all are to know. Messages are lost with a chance, and all of them between two halves
+/// A fleet that exchanges crash records as the program does. The first crash of a request is sent
+/// to its key owners, and all its records to every router from the second crash on; each message is
+/// sent four times within 1.3 s. Every 240 ms each router compares digests with two others.
+/// Messages are lost with probability `loss`, and all of them between the two halves of the fleet
 /// during a partition.
 struct Fleet {
     routers: Vec<CrashEvidence>,
-    /// When, from whom, to whom.
+    /// Time to send, sender, recipients and records.
     messages: Vec<(u64, usize, Vec<usize>, Vec<CrashRecord>)>,
     random: ChaCha8Rng,
+    /// The probability that a message is lost.
     loss: f64,
-    parted_until_ms: u64,
+    partition_until_ms: u64,
 }
 
 impl Fleet {
-    fn reaches(&mut self, from: usize, to: usize, now_ms: u64) -> bool {
+    fn is_delivered(&mut self, from: usize, to: usize, now_ms: u64) -> bool {
         let half = self.routers.len() / 2;
-        let is_parted = now_ms < self.parted_until_ms && (from < half) != (to < half);
-        from != to && !is_parted && self.random.random::<f64>() >= self.loss
+        let is_partitioned = now_ms < self.partition_until_ms && (from < half) != (to < half);
+        from != to && !is_partitioned && self.random.random::<f64>() >= self.loss
     }
 
-    fn tell(&mut self, from: usize, records: &[CrashRecord], now_ms: u64) {
+    fn send(&mut self, from: usize, records: &[CrashRecord], now_ms: u64) {
         let evidence = &self.routers[from];
         let is_shared = records
             .iter()
             .any(|one| evidence.is_shared(one.fingerprint));
-        let count = self.routers.len();
-        // During a partition only the routers of the own half are live.
-        let is_parted = now_ms < self.parted_until_ms && from >= count / 2;
-        let first = if is_parted { count / 2 } else { 0 };
+        let router_count = self.routers.len();
+        // During a partition a router in the upper half regards only its own half as live.
+        let is_partitioned = now_ms < self.partition_until_ms && from >= router_count / 2;
+        let first = if is_partitioned { router_count / 2 } else { 0 };
         let (to, records): (Vec<usize>, _) = match is_shared {
             true => {
-                let all = (0..count).collect();
+                let all = (0..router_count).collect();
                 (all, evidence.records_of(records[0].fingerprint, now_ms))
             }
             false => {
-                let stewards = first..(first + STEWARDS).min(count);
-                (stewards.collect(), records.to_vec())
+                let key_owners = first..(first + KEY_OWNERS).min(router_count);
+                (key_owners.collect(), records.to_vec())
             }
         };
-        let times =
-            REPEATS_MS.map(|pause_ms| (now_ms + pause_ms, from, to.clone(), records.clone()));
-        self.messages.extend(times);
+        let copies =
+            SEND_DELAYS_MS.map(|delay_ms| (now_ms + delay_ms, from, to.clone(), records.clone()));
+        self.messages.extend(copies);
     }
 
     fn deliver(&mut self, now_ms: u64) {
@@ -257,33 +267,33 @@
         for (_, from, recipients, records) in due {
             let is_report = records.len() < CrashEvidence::SHARED_FROM;
             for to in recipients {
-                if !self.reaches(from, to, now_ms) {
+                if !self.is_delivered(from, to, now_ms) {
                     continue;
                 }
                 let news = self.routers[to].merge(&records, now_ms);
                 let is_second = !news.is_empty() && self.routers[to].is_shared(news[0].fingerprint);
                 if is_report && is_second {
-                    self.tell(to, &news, now_ms);
+                    self.send(to, &news, now_ms);
                 }
             }
         }
     }
 
-    fn compare(&mut self, now_ms: u64) {
-        let count = self.routers.len();
-        for from in 0..count {
-            for other in rand::seq::index::sample(&mut self.random, count - 1, 2) {
-                let to = (from + 1 + other) % count;
-                if !self.reaches(from, to, now_ms)
+    fn compare_digests(&mut self, now_ms: u64) {
+        let router_count = self.routers.len();
+        for from in 0..router_count {
+            for other in rand::seq::index::sample(&mut self.random, router_count - 1, 2) {
+                let to = (from + 1 + other) % router_count;
+                if !self.is_delivered(from, to, now_ms)
                     || self.routers[from].digest() == self.routers[to].digest()
                 {
                     continue;
                 }
                 let answer = self.routers[to].shared_records(now_ms);
-                if self.reaches(to, from, now_ms) {
+                if self.is_delivered(to, from, now_ms) {
                     self.routers[from].merge(&answer, now_ms);
                     let own = self.routers[from].shared_records(now_ms);
-                    if self.reaches(from, to, now_ms) {
+                    if self.is_delivered(from, to, now_ms) {
                         self.routers[to].merge(&own, now_ms);
                     }
                 }
@@ -292,8 +302,9 @@
     }
 }
 
-/// How long after its third crash, and after the end of a partition, the last router refuses a request.
-fn play(routers: usize, loss: f64, partition_ms: u64, seed: u64) -> u64 {
+/// The time in milliseconds from the third crash, or from the end of the partition if there is one,
+/// until every router refuses the request.
+fn time_to_refuse_ms(routers: usize, loss: f64, partition_ms: u64, seed: u64) -> u64 {
     let crashes = [0, 400, 800];
     let since_ms = crashes[2] + partition_ms;
     let mut fleet = Fleet {
@@ -301,17 +312,17 @@
         messages: Vec::new(),
         random: ChaCha8Rng::seed_from_u64(seed),
         loss,
-        parted_until_ms: if partition_ms > 0 { since_ms } else { 0 },
+        partition_until_ms: if partition_ms > 0 { since_ms } else { 0 },
     };
     for now_ms in (0..60_000).step_by(STEP_MS as usize) {
         if let Some(server) = crashes.iter().position(|at_ms| *at_ms == now_ms) {
             let router = fleet.random.random_range(0..routers);
             let record = fleet.routers[router].note_crash(fingerprint(1), server as u64, now_ms);
-            fleet.tell(router, &[record.expect("new")], now_ms);
+            fleet.send(router, &[record.expect("the crash is new")], now_ms);
         }
         fleet.deliver(now_ms);
         if now_ms % 240 == 0 {
-            fleet.compare(now_ms);
+            fleet.compare_digests(now_ms);
         }
         let mut all = fleet.routers.iter();
         let all = all.all(|one| one.crashes(fingerprint(1)) >= MAX_CRASHES);
@@ -319,15 +330,15 @@
             return now_ms - since_ms;
         }
     }
-    panic!("not all know it");
+    panic!("some router does not refuse the request");
 }
 
-/// Guards against routers that go on sending a request because a message was lost.
+/// Guards against routers that keep sending a crashing request because a message was lost.
 #[test]
 fn all_routers_refuse_within_three_seconds_though_half_of_the_messages_are_lost() {
     for routers in [3, 9, 89, 300] {
         for seed in 0..20 {
-            let took_ms = play(routers, 0.5, 0, seed);
+            let took_ms = time_to_refuse_ms(routers, 0.5, 0, seed);
             assert!(
                 took_ms <= 3_000,
                 "{routers} routers, seed {seed}: {took_ms} ms"
@@ -340,7 +351,7 @@
 fn all_routers_refuse_within_three_seconds_after_a_partition() {
     for routers in [3, 9, 89, 300] {
         for seed in 0..10 {
-            let took_ms = play(routers, 0.03, 5_000, seed);
+            let took_ms = time_to_refuse_ms(routers, 0.03, 5_000, seed);
             assert!(
                 took_ms <= 3_000,
                 "{routers} routers, seed {seed}: {took_ms} ms"
--- a/crates/sapphiretrack-routing/tests/heartbeat_pace.rs
+++ b/crates/sapphiretrack-routing/tests/heartbeat_pace.rs
@@ -1,4 +1,4 @@
-//! The pace of heartbeats in fleets of any size.
+//! Heartbeat intervals in fleets of any size.
 
 use sapphiretrack_routing::HeartbeatPace;
 
@@ -8,9 +8,10 @@
     at_once: 24,
 };
 
-/// The load: few routers, each of which fills the slots of a few servers within a heartbeat.
+/// In a small fleet each router can fill the slots of several servers within one heartbeat
+/// interval, so that the others need its load sooner.
 #[test]
-fn a_small_fleet_hears_of_loads_sooner() {
+fn heartbeats_are_more_frequent_in_a_small_fleet() {
     assert_eq!(PACE.pause_ms(1), 100);
     assert_eq!(PACE.pause_ms(7), 100);
     assert_eq!(PACE.pause_ms(12), 125);
@@ -19,17 +20,20 @@
 }
 
 #[test]
-fn no_fleet_costs_more_datagrams_than_a_large_one() {
-    let most_per_s = PACE.at_once as f64 * 1_000.0 / PACE.heartbeat_ms as f64;
+fn no_fleet_needs_more_datagrams_per_second_than_a_large_one() {
+    let max_per_s = PACE.at_once as f64 * 1_000.0 / PACE.heartbeat_ms as f64;
     for routers in 0..400 {
-        let hear = routers.min(PACE.at_once) as f64;
-        let per_s = hear * 1_000.0 / PACE.pause_ms(routers) as f64;
-        assert!(per_s <= most_per_s, "{per_s} a second to {routers} routers");
+        let recipients = routers.min(PACE.at_once) as f64;
+        let per_s = recipients * 1_000.0 / PACE.pause_ms(routers) as f64;
+        assert!(
+            per_s <= max_per_s,
+            "{per_s} datagrams per second to {routers} routers"
+        );
     }
 }
 
 #[test]
-fn each_router_has_its_turn() {
+fn enough_rounds_reach_every_router() {
     assert_eq!(PACE.rounds(0), 1);
     assert_eq!(PACE.rounds(24), 1);
     assert_eq!(PACE.rounds(25), 2);
--- a/crates/sapphiretrack-routing/tests/load_digest.rs
+++ b/crates/sapphiretrack-routing/tests/load_digest.rs
@@ -1,4 +1,5 @@
-//! Loads reach all routers young, whatever the size of the fleet, with losses and lost collectors.
+//! Load digests reach every router in bounded time in fleets of any size, even if messages are lost
+//! or collectors fail.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -10,15 +11,19 @@
 };
 
 const ZONES: usize = 5;
+/// The time between two reports of a router.
 const REPORT_MS: u64 = 100;
+/// The time after which a collector adds up and sends loads again.
 const COLLECT_MS: u64 = 100;
-const WAY_MS: u64 = 1;
-/// The load of a server tells when it was reported, in this unit.
+/// The network time of a message.
+const LATENCY_MS: u64 = 1;
+/// The unit of the report time that the simulation stores in `in_flight`, to measure the age of
+/// loads.
 const TICK_MS: u64 = 10;
-/// Servers, each with load from one router.
+/// Servers, each of which has load from one router.
 const SERVERS: usize = 250;
-/// Routers of a zone that others know of as the first.
-const RANKED: usize = 8;
+/// The number of routers, first in the ranking of a zone, from which its collectors are chosen.
+const RANKED_PER_ZONE: usize = 8;
 
 enum Message {
     Report(LoadReport),
@@ -33,20 +38,23 @@
     collector: LoadCollector,
     sequence: u64,
     phase_ms: u64,
-    /// Whom collectors call silent.
+    /// Tags of the routers that the last digest lists as silent.
     silent: Vec<u32>,
 }
 
 struct Fleet {
     routers: Vec<Router>,
     random: ChaCha8Rng,
+    /// The probability that a message is lost.
     loss: f64,
-    /// Zones that no message enters or leaves.
-    is_cut: [bool; ZONES],
+    /// By zone: whether messages can neither enter nor leave it.
+    is_partitioned: [bool; ZONES],
     now_ms: u64,
-    /// Messages on their way, by the time of arrival.
+    /// Messages in transit: time of arrival and index in `messages`.
     queue: BinaryHeap<(std::cmp::Reverse<u64>, usize)>,
+    /// Sender, recipient and content, which is taken on delivery.
     messages: Vec<(usize, usize, Option<Message>)>,
+    /// Bytes that each router has sent.
     bytes: Vec<u64>,
 }
 
@@ -56,7 +64,7 @@
 
 fn index_of(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        unreachable!("all are of version 4");
+        unreachable!("all addresses are IPv4");
     };
     let [_, _, high, low] = address.ip().octets();
     usize::from(high) * 250 + usize::from(low)
@@ -80,7 +88,7 @@
             routers,
             random,
             loss: 0.0,
-            is_cut: [false; ZONES],
+            is_partitioned: [false; ZONES],
             now_ms: 0,
             queue: BinaryHeap::new(),
             messages: Vec::new(),
@@ -88,10 +96,11 @@
         }
     }
 
-    /// The first routers of a zone, dead ones too: nobody may have noticed.
+    /// The routers of a zone that rank first. They include dead ones, whose failure may not be
+    /// detected yet.
     fn ranked(&self, zone: usize) -> Vec<SocketAddr> {
-        let mates = (0..self.routers.len()).filter(|index| index % ZONES == zone);
-        mates.take(RANKED).map(address).collect()
+        let members = (0..self.routers.len()).filter(|index| index % ZONES == zone);
+        members.take(RANKED_PER_ZONE).map(address).collect()
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
@@ -102,14 +111,15 @@
             Message::Digest(digest) => 20 + digest.loads.len() * 8 + digest.silent.len() * 4,
         };
         self.bytes[from] += size as u64;
-        let (one, other) = (self.routers[from].zone, self.routers[to].zone);
-        let is_cut = one != other && (self.is_cut[one] || self.is_cut[other]);
+        let (from_zone, to_zone) = (self.routers[from].zone, self.routers[to].zone);
+        let is_partitioned = from_zone != to_zone
+            && (self.is_partitioned[from_zone] || self.is_partitioned[to_zone]);
         let is_lost = from != to && self.random.random_bool(self.loss);
-        if is_cut || is_lost {
+        if is_partitioned || is_lost {
             return;
         }
         self.messages.push((from, to, Some(message)));
-        let arrival_ms = self.now_ms + WAY_MS;
+        let arrival_ms = self.now_ms + LATENCY_MS;
         let message = self.messages.len() - 1;
         self.queue.push((std::cmp::Reverse(arrival_ms), message));
     }
@@ -123,12 +133,12 @@
                 self.queue.pop();
                 let (from, to, message) = &mut self.messages[message];
                 let (from, to) = (*from, *to);
-                let message = message.take().expect("once");
+                let message = message.take().expect("a message is delivered once");
                 self.receive(from, to, message);
             }
             for index in 0..self.routers.len() {
                 if !self.routers[index].is_dead {
-                    self.act(index);
+                    self.run_timers(index);
                 }
             }
         }
@@ -152,7 +162,8 @@
         }
     }
 
-    fn act(&mut self, index: usize) {
+    /// Sends the report and the sums of a router when they are due.
+    fn run_timers(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let (zone, phase_ms) = (self.routers[index].zone, self.routers[index].phase_ms);
         if now_ms % REPORT_MS == phase_ms {
@@ -169,12 +180,12 @@
             router.sequence += 1;
             let sequence = router.sequence;
             let collectors = router.reporter.collectors(&ranked, now_ms);
-            for (place, collector) in collectors.into_iter().enumerate() {
+            for (position, collector) in collectors.into_iter().enumerate() {
                 let report = LoadReport {
                     name: format!("router-{index}"),
                     incarnation: 1,
                     sequence,
-                    reply_to: (place == 0).then_some(address(index)),
+                    reply_to: (position == 0).then_some(address(index)),
                     loads: loads.clone(),
                 };
                 self.send(index, collector, Message::Report(report));
@@ -187,8 +198,8 @@
                 return;
             };
             let mut collectors = collected.collectors;
-            for other in 0..ZONES {
-                collectors.extend(self.ranked(other).into_iter().take(2));
+            for zone in 0..ZONES {
+                collectors.extend(self.ranked(zone).into_iter().take(2));
             }
             collectors.sort_unstable();
             collectors.dedup();
@@ -202,21 +213,21 @@
         }
     }
 
-    /// The ages of the loads of servers that live routers of some zones load, as live routers of
-    /// these zones see them; sorted, and how many are missing.
+    /// The sorted ages in milliseconds of the loads that live routers of these zones put on
+    /// servers, as seen by live routers of the same zones, and the number of missing loads.
     fn ages(&self, zones: &[usize]) -> (Vec<u64>, usize) {
-        let counts = |index: &usize| {
+        let is_included = |index: &usize| {
             let router = &self.routers[*index];
             !router.is_dead && zones.contains(&router.zone)
         };
         let (mut ages, mut missing) = (Vec::new(), 0);
-        for observer in (0..self.routers.len()).filter(counts) {
+        for observer in (0..self.routers.len()).filter(is_included) {
             let Some(loads) = self.routers[observer].reporter.loads(self.now_ms) else {
                 missing += 1;
                 continue;
             };
-            let loaded = (0..SERVERS.min(self.routers.len())).filter(counts);
-            for server in loaded.filter(|server| *server != observer) {
+            let servers = (0..SERVERS.min(self.routers.len())).filter(is_included);
+            for server in servers.filter(|server| *server != observer) {
                 match loads.get(&(server as u32)) {
                     Some((ticks, _)) => ages.push(self.now_ms - u64::from(*ticks) * TICK_MS),
                     None => missing += 1,
@@ -228,54 +239,54 @@
     }
 }
 
-fn quantile(ages: &[u64], part: f64) -> u64 {
-    ages[((ages.len() - 1) as f64 * part) as usize]
+fn quantile(ages: &[u64], fraction: f64) -> u64 {
+    ages[((ages.len() - 1) as f64 * fraction) as usize]
 }
 
-/// All ages at several moments.
-fn sampled(fleet: &mut Fleet, zones: &[usize]) -> (Vec<u64>, usize) {
+/// The result of [`Fleet::ages`] combined over eight moments.
+fn sample_ages(fleet: &mut Fleet, zones: &[usize]) -> (Vec<u64>, usize) {
     let (mut all, mut missing) = (Vec::new(), 0);
     for _ in 0..8 {
         let pause_ms = fleet.random.random_range(20..150);
         let until_ms = fleet.now_ms + pause_ms;
         fleet.run(until_ms);
-        let (ages, lost) = fleet.ages(zones);
+        let (ages, missing_now) = fleet.ages(zones);
         all.extend(ages);
-        missing += lost;
+        missing += missing_now;
     }
     all.sort_unstable();
     (all, missing)
 }
 
-const ALL: [usize; ZONES] = [0, 1, 2, 3, 4];
+const ALL_ZONES: [usize; ZONES] = [0, 1, 2, 3, 4];
 
 #[test]
-fn loads_are_young_at_all_sizes() {
+fn loads_are_recent_in_fleets_of_any_size() {
     for routers in [9, 89, 295, 1_000] {
         let mut fleet = Fleet::new(routers, 5);
         fleet.run(2_000);
-        let (ages, missing) = sampled(&mut fleet, &ALL);
-        let (median, worst) = (quantile(&ages, 0.5), quantile(&ages, 0.99));
+        let (ages, missing) = sample_ages(&mut fleet, &ALL_ZONES);
+        let (median, p99) = (quantile(&ages, 0.5), quantile(&ages, 0.99));
         assert_eq!(missing, 0, "{routers} routers");
         assert!(
-            median < 250 && worst < 600,
-            "{routers} routers: {median} {worst}"
+            median < 250 && p99 < 600,
+            "{routers} routers: median {median} ms, p99 {p99} ms"
         );
     }
 }
 
 #[test]
-fn one_message_in_twenty_lost_makes_few_loads_old() {
+fn few_loads_are_old_if_one_message_in_twenty_is_lost() {
     let mut fleet = Fleet::new(295, 6);
     fleet.loss = 0.05;
     fleet.run(3_000);
-    let (ages, missing) = sampled(&mut fleet, &ALL);
+    let (ages, missing) = sample_ages(&mut fleet, &ALL_ZONES);
     assert!(quantile(&ages, 0.99) < 1_000);
     assert!(missing * 1_000 <= ages.len(), "{missing} of {}", ages.len());
 }
 
 #[test]
-fn all_collectors_of_a_zone_lost_at_once_are_replaced() {
+fn collectors_of_a_zone_that_all_fail_at_once_are_replaced() {
     let mut fleet = Fleet::new(295, 7);
     fleet.run(2_000);
     for index in [0, 5] {
@@ -283,32 +294,32 @@
         fleet.routers[index].is_dead = true;
     }
     fleet.run(4_500);
-    let (ages, missing) = sampled(&mut fleet, &ALL);
+    let (ages, missing) = sample_ages(&mut fleet, &ALL_ZONES);
     assert_eq!(missing, 0);
     assert!(quantile(&ages, 0.99) < 600);
 }
 
 #[test]
-fn a_zone_that_is_cut_off_counts_for_itself_and_comes_back() {
+fn a_partitioned_zone_counts_its_own_loads_and_rejoins_the_others() {
     let mut fleet = Fleet::new(295, 8);
     fleet.run(2_000);
-    fleet.is_cut[2] = true;
+    fleet.is_partitioned[2] = true;
     fleet.run(4_000);
     for zones in [&[2][..], &[0, 1, 3, 4]] {
-        let (ages, missing) = sampled(&mut fleet, zones);
-        assert_eq!(missing, 0, "{zones:?} among themselves");
+        let (ages, missing) = sample_ages(&mut fleet, zones);
+        assert_eq!(missing, 0, "zones {zones:?}");
         assert!(quantile(&ages, 0.99) < 600);
     }
-    fleet.is_cut[2] = false;
+    fleet.is_partitioned[2] = false;
     let until_ms = fleet.now_ms + 1_500;
     fleet.run(until_ms);
-    let (ages, missing) = sampled(&mut fleet, &ALL);
+    let (ages, missing) = sample_ages(&mut fleet, &ALL_ZONES);
     assert_eq!(missing, 0);
     assert!(quantile(&ages, 0.99) < 600);
 }
 
 #[test]
-fn dead_routers_are_known_to_all_within_a_second_and_a_half_and_live_ones_are_not_called_silent() {
+fn all_routers_learn_of_dead_ones_within_1500_ms_and_live_ones_do_not_count_as_silent() {
     let mut fleet = Fleet::new(295, 10);
     fleet.loss = 0.02;
     fleet.run(2_000);
@@ -320,13 +331,13 @@
     let mut expected: Vec<u32> = dead.iter().map(|index| tag(*index)).collect();
     expected.sort_unstable();
     let live = fleet.routers.iter().filter(|router| !router.is_dead);
-    let knowing = live.clone().filter(|router| {
+    let agreeing = live.clone().filter(|router| {
         let mut silent = router.silent.clone();
         silent.sort_unstable();
         silent.dedup();
         silent == expected
     });
-    assert_eq!(knowing.count(), live.count());
+    assert_eq!(agreeing.count(), live.count());
 }
 
 #[test]
@@ -342,18 +353,18 @@
 }
 
 #[test]
-fn a_collector_that_stood_still_calls_nobody_silent() {
+fn a_collector_that_was_paused_reports_no_router_as_silent() {
     let mut fleet = Fleet::new(295, 12);
     fleet.run(2_000);
     fleet.routers[0].is_dead = true;
     fleet.run(6_000);
     fleet.routers[0].is_dead = false;
     fleet.run(6_700);
-    let wrong = fleet.routers.iter().map(|router| {
+    let wrongly_silent = fleet.routers.iter().map(|router| {
         let others = router.silent.iter().filter(|silent| **silent != tag(0));
         others.count()
     });
-    assert_eq!(wrong.sum::<usize>(), 0);
+    assert_eq!(wrongly_silent.sum::<usize>(), 0);
 }
 
 #[test]
@@ -368,7 +379,7 @@
                 reply_to: Some(address(9)),
                 loads: Vec::new(),
             };
-            // From the second second on "a" reports to one of them only.
+            // From 1,000 ms on "a" reports to one of them only.
             if name != "a" || now_ms < 1_000 {
                 collectors[0].note_report(report.clone(), now_ms);
             }
@@ -376,12 +387,12 @@
         }
         let collected = [0, 1].map(|index| {
             let collected = collectors[index].collect("z", address(index), now_ms);
-            collected.expect("reported")
+            collected.expect("routers reported")
         });
-        let [one, other] = collected;
-        assert!(one.digest.silent.is_empty(), "{now_ms}");
-        collectors[0].note_zone(other.zone, now_ms);
-        collectors[1].note_zone(one.zone, now_ms);
+        let [collected_0, collected_1] = collected;
+        assert!(collected_0.digest.silent.is_empty(), "{now_ms} ms");
+        collectors[0].note_zone(collected_1.zone, now_ms);
+        collectors[1].note_zone(collected_0.zone, now_ms);
     }
 }
 
@@ -390,18 +401,22 @@
 }
 
 #[test]
-fn an_ordinary_router_sends_little_and_a_collector_what_its_zone_needs() {
+fn nearly_all_routers_send_less_than_2_kb_per_second() {
     let mut fleet = Fleet::new(295, 9);
     fleet.run(1_000);
     fleet.bytes.iter_mut().for_each(|bytes| *bytes = 0);
     fleet.run(3_000);
-    let mut per_s: Vec<u64> = fleet.bytes.iter().map(|bytes| bytes / 2).collect();
-    per_s.sort_unstable();
-    assert!(per_s[280] < 2_000, "{}", per_s[280]);
+    let mut bytes_per_s: Vec<u64> = fleet.bytes.iter().map(|bytes| bytes / 2).collect();
+    bytes_per_s.sort_unstable();
+    assert!(
+        bytes_per_s[280] < 2_000,
+        "{} bytes per second",
+        bytes_per_s[280]
+    );
 }
 
 #[test]
-fn the_own_load_is_not_counted_twice() {
+fn a_routers_own_load_is_not_counted_twice() {
     let mut reporter = LoadReporter::default();
     let own = LoadEntry {
         server: 1,
@@ -415,13 +430,13 @@
         ..own
     };
     reporter.note_digest(address(1), &[total], 100);
-    let loads = reporter.loads(200).expect("young");
+    let loads = reporter.loads(200).expect("the digest is recent");
     assert_eq!(loads[&1], (2, 5 * 64));
-    assert!(reporter.loads(1_200).is_none(), "too old to place by");
+    assert!(reporter.loads(1_200).is_none(), "too old for placement");
 }
 
 #[test]
-fn a_report_of_a_run_that_began_earlier_counts_once_the_later_one_is_silent() {
+fn a_report_of_a_lower_incarnation_counts_once_the_higher_one_is_silent() {
     let mut collector = LoadCollector::default();
     let report = |incarnation, in_flight| LoadReport {
         name: "a".to_owned(),
@@ -439,7 +454,7 @@
             collector.collect("z", address(0), earlier_ms);
         }
         let collected = collector.collect("z", address(0), now_ms);
-        let total = collected.expect("reported").digest.loads;
+        let total = collected.expect("routers reported").digest.loads;
         let sums = total.into_iter().map(|one| (one.server, one.in_flight));
         sums.collect::<BTreeMap<u32, u16>>()
     };
--- a/crates/sapphiretrack-routing/tests/messages.rs
+++ b/crates/sapphiretrack-routing/tests/messages.rs
@@ -1,5 +1,5 @@
-//! Messages from other routers may hold anything: bytes that are no message, and messages whose
-//! numbers make no sense.
+//! Routers tolerate any input from each other: bytes that are not a message, and messages with
+//! arbitrary numbers.
 
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -11,7 +11,7 @@
     ServerChange, ServerChanges, ServerLoad, WatchAnswer, WatchState, ZoneLoads,
 };
 
-/// What a router keeps of messages.
+/// The state that a router builds from messages.
 #[derive(Default)]
 struct Receiver {
     peers: PeerTable,
@@ -75,7 +75,7 @@
             }
             RouterMessage::Relay(_) | RouterMessage::AskPrefixes { .. } => {}
         }
-        // What is asked of it while it serves.
+        // Queries of a router that serves requests.
         self.collector
             .collect("z", ([10, 0, 0, 2], 1).into(), now_ms);
         let _age = self.watch.age_ms(now_ms);
@@ -243,13 +243,13 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn bytes_that_are_no_message_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        // It neither panics nor asks for memory by a length that the bytes claim.
+    fn arbitrary_bytes_do_not_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+        // Decoding neither panics nor allocates memory by a length that the bytes claim.
         let _decoded = bincode::deserialize::<RouterMessage>(&bytes);
     }
 
     #[test]
-    fn messages_with_any_numbers_leave_a_router_that_works(
+    fn messages_with_arbitrary_numbers_do_not_cause_a_panic(
         messages in prop::collection::vec(message(), 1..12),
     ) {
         let mut receiver = Receiver::new();
@@ -259,21 +259,22 @@
     }
 
     #[test]
-    fn messages_that_are_cut_or_spoilt_are_refused_or_harmless(
+    fn truncated_messages_are_rejected_and_corrupted_ones_are_harmless(
         message in message(),
         seed in any::<u64>(),
     ) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut bytes = bincode::serialize(&message).expect("it has a form");
-        let whole: RouterMessage = bincode::deserialize(&bytes).expect("it can be read");
+        let mut bytes = bincode::serialize(&message).expect("the message can be encoded");
+        let whole: RouterMessage =
+            bincode::deserialize(&bytes).expect("the message can be decoded");
         prop_assert_eq!(&whole, &message);
-        let cut = bincode::deserialize::<RouterMessage>(&bytes[..bytes.len() - 1]);
-        prop_assert!(cut.is_err(), "a message that was cut was read");
+        let truncated = bincode::deserialize::<RouterMessage>(&bytes[..bytes.len() - 1]);
+        prop_assert!(truncated.is_err(), "a truncated message was decoded");
         for _ in 0..8 {
             let index = random.random_range(0..bytes.len());
             bytes[index] ^= 1 << random.random_range(0..8);
-            if let Ok(spoilt) = bincode::deserialize(&bytes) {
-                Receiver::new().receive(spoilt, 1_000);
+            if let Ok(corrupted) = bincode::deserialize(&bytes) {
+                Receiver::new().receive(corrupted, 1_000);
             }
         }
     }
--- a/crates/sapphiretrack-routing/tests/peers.rs
+++ b/crates/sapphiretrack-routing/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Other routers, by their heartbeats.
+//! The table of other routers, as their heartbeats show them.
 
 use sapphiretrack_routing::{
     Heartbeat, Incarnation, ListedRouter, ListingAdvert, PeerTable, RankKey, RouterState,
@@ -28,14 +28,14 @@
     }
 }
 
-fn key(is_store_failing: bool) -> RankKey {
+fn rank_key(is_store_failing: bool) -> RankKey {
     RankKey {
         is_store_failing,
         cpu_millicores: 250,
     }
 }
 
-fn proven(name: &str, store_ms: u64) -> Heartbeat {
+fn heartbeat_with_proof(name: &str, store_ms: u64) -> Heartbeat {
     Heartbeat {
         configuration: ListingAdvert {
             proven_store_ms: Some(store_ms),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_silent_router_is_not_offered_and_later_forgotten() {
+fn a_silent_router_is_not_offered_to_callers_and_is_later_removed() {
     let mut peers = PeerTable::default();
     assert!(peers.note(heartbeat("a", 1, 1, RouterState::Ready), 0));
     assert_eq!(peers.ready(None, 900).len(), 1);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn leaving_is_final_for_a_run_and_a_later_run_counts_anew() {
+fn leaving_is_final_for_an_incarnation_but_not_for_the_next_one() {
     let mut peers = PeerTable::default();
     peers.note(heartbeat("a", 1, 1, RouterState::Ready), 0);
     assert!(peers.note(heartbeat("a", 1, 2, RouterState::Leaving), 10));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn late_and_repeated_heartbeats_change_nothing() {
+fn late_heartbeats_change_nothing() {
     let mut peers = PeerTable::default();
     peers.note(heartbeat("a", 5, 7, RouterState::NotReady), 0);
     assert!(!peers.note(heartbeat("a", 5, 6, RouterState::Ready), 10));
@@ -77,20 +77,21 @@
     assert!(peers.ready(None, 20).is_empty());
 }
 
+/// An incarnation is a start time, so it is lower if the clock stepped back between two runs.
 #[test]
-fn a_run_that_starts_at_an_earlier_time_of_day_counts_once_the_last_run_is_silent() {
+fn a_lower_incarnation_counts_once_the_last_one_is_silent() {
     let mut peers = PeerTable::default();
     peers.note(heartbeat("a", 9_000, 700, RouterState::Leaving), 0);
     assert!(!peers.note(heartbeat("a", 4_000, 1, RouterState::Ready), 900));
     assert!(peers.note(heartbeat("a", 4_000, 2, RouterState::Ready), 1_000));
     assert_eq!(peers.ready(None, 1_100).len(), 1);
-    // Afterwards the run is like any other: its own old heartbeats change nothing.
+    // From then on its own old heartbeats change nothing, as for any other incarnation.
     assert!(!peers.note(heartbeat("a", 4_000, 1, RouterState::NotReady), 1_200));
     assert_eq!(peers.ready(None, 1_300).len(), 1);
 }
 
 #[test]
-fn a_run_that_comes_back_from_a_silence_is_not_older_than_itself() {
+fn after_a_silence_old_heartbeats_of_the_same_incarnation_change_nothing() {
     let mut peers = PeerTable::default();
     peers.note(heartbeat("a", 5, 7, RouterState::Ready), 0);
     assert!(!peers.note(heartbeat("a", 5, 6, RouterState::NotReady), 2_000));
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn loads_add_up_over_the_routers_that_were_heard_lately() {
+fn loads_are_summed_over_routers_with_recent_heartbeats() {
     let mut peers = PeerTable::default();
     peers.note(heartbeat("a", 1, 1, RouterState::Ready), 0);
     peers.note(heartbeat("b", 1, 1, RouterState::Ready), 1_500);
@@ -119,14 +120,14 @@
 }
 
 #[test]
-fn live_routers_agree_on_one_order() {
+fn live_routers_agree_on_their_ranks() {
     let names = ["a", "b", "c", "d", "e"];
     let rank = |own: &str, dead: &str| {
         let mut peers = PeerTable::default();
         for name in names.iter().filter(|name| **name != own && **name != dead) {
             peers.note(heartbeat(name, 1, 1, RouterState::Ready), 0);
         }
-        peers.rank(own, key(false), 500)
+        peers.rank(own, rank_key(false), 500)
     };
     for dead in ["", "a", "c"] {
         let live = names.iter().filter(|name| **name != dead);
@@ -138,17 +139,17 @@
 }
 
 #[test]
-fn a_router_that_falls_behind_is_not_offered_unless_all_have() {
+fn a_router_that_falls_behind_is_not_offered_to_callers_unless_all_have() {
     let mut peers = PeerTable::default();
-    peers.note(proven("a", 10_000), 0);
-    peers.note(proven("b", 7_000), 0);
+    peers.note(heartbeat_with_proof("a", 10_000), 0);
+    peers.note(heartbeat_with_proof("b", 7_000), 0);
     assert_eq!(peers.ready(Some(10_000), 100).len(), 1);
     assert!(peers.is_own_behind(Some(7_400), 100));
     assert!(!peers.is_own_behind(Some(7_600), 100));
-    // The store is away for all: the proofs stand still together.
+    // No router reaches the store: all proofs stop advancing together.
     let mut peers = PeerTable::default();
-    peers.note(proven("a", 7_000), 0);
-    peers.note(proven("b", 6_500), 0);
+    peers.note(heartbeat_with_proof("a", 7_000), 0);
+    peers.note(heartbeat_with_proof("b", 6_500), 0);
     assert_eq!(peers.ready(Some(7_000), 100).len(), 2);
     assert!(!peers.is_own_behind(Some(6_000), 100));
 }
@@ -161,7 +162,7 @@
     assert_eq!(
         peers.ready(None, 1_100).len(),
         1,
-        "its next heartbeat is on its way"
+        "its next heartbeat may be in transit"
     );
     assert_eq!(
         peers.ready(None, 2_400).len(),
@@ -186,15 +187,22 @@
                     0,
                 );
             }
-            peers.rank(own, key(failing.contains(own)), 500)
+            peers.rank(own, rank_key(failing.contains(own)), 500)
         };
         names.iter().map(rank).collect::<Vec<usize>>()
     };
-    let by_id = ranks(&[]);
-    let first = by_id.iter().position(|rank| *rank == 0).expect("a first");
+    let usual_ranks = ranks(&[]);
+    let first = usual_ranks
+        .iter()
+        .position(|rank| *rank == 0)
+        .expect("one router ranks first");
     let failing = ranks(&[names[first]]);
-    assert_eq!(failing[first], 3, "it gives its watches up");
-    assert_eq!(ranks(&names), by_id, "if all fail the order is as before");
+    assert_eq!(failing[first], 3, "it gives up its watches");
+    assert_eq!(
+        ranks(&names),
+        usual_ranks,
+        "the order does not change if all fail"
+    );
 }
 
 fn listed(name: &str, cpu_millicores: Option<u32>) -> ListedRouter {
@@ -207,7 +215,7 @@
 }
 
 #[test]
-fn a_large_vm_ranks_first_in_a_starting_fleet_before_it_was_heard_from() {
+fn a_large_vm_ranks_first_among_listed_routers_without_heartbeats() {
     let mut peers = PeerTable::default();
     let small = (0..290).map(|index| listed(&format!("small-{index}"), Some(120)));
     peers.note_listed(small, 0);
@@ -220,29 +228,29 @@
 }
 
 #[test]
-fn listed_routers_that_were_not_heard_yet_count_for_the_rank_and_not_for_long() {
+fn listed_routers_without_heartbeats_count_for_the_rank_for_a_limited_time() {
     let mut peers = PeerTable::default();
     let names: Vec<String> = (0..300).map(|index| format!("router-{index}")).collect();
     peers.note_listed(names.iter().map(|name| listed(name, Some(250))), 0);
     let expected = {
-        let mut heard = PeerTable::default();
+        let mut with_heartbeats = PeerTable::default();
         for name in &names {
-            heard.note(heartbeat(name, 1, 1, RouterState::Ready), 0);
+            with_heartbeats.note(heartbeat(name, 1, 1, RouterState::Ready), 0);
         }
-        heard.rank("own", key(false), 100)
+        with_heartbeats.rank("own", rank_key(false), 100)
     };
-    assert_eq!(peers.rank("own", key(false), 100), expected);
-    assert_eq!(peers.live(100), 0, "none was heard from");
+    assert_eq!(peers.rank("own", rank_key(false), 100), expected);
+    assert_eq!(peers.live(100), 0, "none has sent a heartbeat");
     assert_eq!(
-        peers.rank("own", key(false), 1_100),
+        peers.rank("own", rank_key(false), 1_100),
         0,
         "stale rows do not count"
     );
 }
 
 #[test]
-fn holders_have_the_version_and_a_proof() {
-    let knowing = |name: &str, changed_version, proven_store_ms| Heartbeat {
+fn holders_have_the_wanted_version_and_a_proof() {
+    let advertising = |name: &str, changed_version, proven_store_ms| Heartbeat {
         servers: ListingAdvert {
             changed_version,
             proven_store_ms,
@@ -251,9 +259,9 @@
         ..heartbeat(name, 1, 1, RouterState::Ready)
     };
     let mut peers = PeerTable::default();
-    peers.note(knowing("new", 12, Some(900)), 0);
-    peers.note(knowing("old", 11, Some(900)), 0);
-    peers.note(knowing("starting", 0, None), 0);
+    peers.note(advertising("new", 12, Some(900)), 0);
+    peers.note(advertising("old", 11, Some(900)), 0);
+    peers.note(advertising("starting", 0, None), 0);
     let holders = |version, now_ms| {
         let holders = peers.holders("z", version, |heartbeat| &heartbeat.servers, now_ms);
         assert!(holders.iter().all(|holder| holder.is_near));
@@ -261,11 +269,11 @@
     };
     assert_eq!(holders(12, 100), 1);
     assert_eq!(holders(0, 100), 2);
-    assert_eq!(holders(0, 1_100), 0, "none is live");
+    assert_eq!(holders(0, 1_100), 0, "no holder is live");
 }
 
 #[test]
-fn large_vms_rank_before_small_ones_and_sizes_that_are_close_count_as_equal() {
+fn large_vms_rank_before_small_ones_and_similar_sizes_count_as_equal() {
     let sized = |name: &str, cpu_millicores| Heartbeat {
         cpu_millicores,
         ..heartbeat(name, 1, 1, RouterState::Ready)
@@ -291,21 +299,21 @@
 fn in_a_large_fleet_an_old_heartbeat_does_not_make_its_router_fall_behind() {
     let mut peers = PeerTable::default();
     peers.set_heartbeat_interval(3_250);
-    peers.note(proven("a", 9_500), 0);
-    peers.note(proven("watcher", 13_000), 3_000);
+    peers.note(heartbeat_with_proof("a", 9_500), 0);
+    peers.note(heartbeat_with_proof("watcher", 13_000), 3_000);
     let ready = peers.ready(Some(13_000), 3_000).len();
-    assert_eq!(ready, 2, "what a proves now is on its way");
+    assert_eq!(ready, 2, "a later proof of \"a\" may be in transit");
     // Its next heartbeat shows that it has no later proof.
     let late = Heartbeat {
         sequence: 2,
-        ..proven("a", 9_500)
+        ..heartbeat_with_proof("a", 9_500)
     };
     peers.note(late, 3_100);
     assert_eq!(peers.ready(Some(13_000), 3_100).len(), 1);
 }
 
 #[test]
-fn a_router_that_collectors_miss_is_not_offered_while_they_say_so() {
+fn a_router_that_collectors_report_as_silent_is_not_offered_to_callers() {
     let mut peers = PeerTable::default();
     peers.set_heartbeat_interval(3_250);
     peers.note(heartbeat("a", 1, 1, RouterState::Ready), 0);
@@ -313,11 +321,11 @@
     peers.note_silent(&[router_tag("a")], 100);
     assert_eq!(peers.ready(None, 200).len(), 1);
     peers.note_silent(&[], 300);
-    assert_eq!(peers.ready(None, 400).len(), 2, "it reports again");
+    assert_eq!(peers.ready(None, 400).len(), 2, "the router reports again");
     peers.note_silent(&[router_tag("a")], 500);
     assert_eq!(
         peers.ready(None, 1_600).len(),
         2,
-        "an old word does not count"
+        "an old report of silence does not count"
     );
 }
