--- a/crates/sapphiretrack-routing/tests/configuration.rs
+++ b/crates/sapphiretrack-routing/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes and keys.
+//! Route lookup, caller keys and weighted targets.
 
 use sapphiretrack_routing::{
     Configuration, RequestKind, Route, RouteError, Service, Target, Tenant,
@@ -62,48 +62,59 @@
 }
 
 #[test]
-fn only_known_keys_pass_where_keys_are_needed() {
+fn only_known_keys_are_accepted_on_routes_that_need_one() {
     let mut configuration = configuration();
     let routes = configuration.clone();
-    let closed = routes.route("a.example", "/a/").expect("there");
-    let open = routes.route("a.example", "/open/").expect("there");
+    let protected = routes.route("a.example", "/a/").expect("the route exists");
+    let open = routes
+        .route("a.example", "/open/")
+        .expect("the route exists");
     assert!(
         configuration
-            .tenant(closed, None)
-            .expect("no tenants, no keys")
+            .tenant(protected, None)
+            .expect("no keys are configured")
             .is_none()
     );
-    assert!(!configuration.needs_key(closed));
+    assert!(!configuration.needs_key(protected));
     let tenant = Tenant {
         name: "t".to_owned(),
         priority: Some(0),
     };
     configuration.add_tenant(tenant, ["k1".to_owned(), "k2".to_owned()]);
-    assert!(configuration.needs_key(closed));
+    assert!(configuration.needs_key(protected));
     assert!(!configuration.needs_key(open));
     for key in [None, Some(""), Some("k3"), Some("K1")] {
-        let denied = configuration.tenant(closed, key).map(|one| one.is_some());
-        assert_eq!(denied, Err(RouteError::UnknownKey), "{key:?}");
-        assert!(configuration.tenant(open, key).expect("open").is_none());
+        let result = configuration
+            .tenant(protected, key)
+            .map(|found| found.is_some());
+        assert_eq!(result, Err(RouteError::UnknownKey), "{key:?}");
+        assert!(
+            configuration
+                .tenant(open, key)
+                .expect("the route is open")
+                .is_none()
+        );
     }
-    let known = configuration.tenant(closed, Some("k2")).expect("known");
-    assert_eq!(known.expect("a tenant").name, "t");
+    let known = configuration
+        .tenant(protected, Some("k2"))
+        .expect("the key is known");
+    assert_eq!(known.expect("the key belongs to a tenant").name, "t");
 }
 
 #[test]
 fn requests_split_by_weight() {
     let route = route("a", "/", false);
-    let mut ones = 0;
+    let mut to_one = 0;
     for step in 0..1_000 {
         match route.pick_target(f64::from(step) / 1_000.0) {
-            Some("one") => ones += 1,
+            Some("one") => to_one += 1,
             Some("two") => {}
-            other => panic!("went to {other:?}"),
+            other => panic!("unexpected target {other:?}"),
         }
     }
     assert!(
-        (890..=910).contains(&ones),
-        "{ones} of 1,000 at a weight of 90 in 100"
+        (890..=910).contains(&to_one),
+        "{to_one} of 1,000 requests at a weight of 90 in 100"
     );
     assert_eq!(route.pick_target(1.0), Some("two"));
 }
--- a/crates/sapphiretrack-routing/tests/discovery.rs
+++ b/crates/sapphiretrack-routing/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Callers of a zone with more routers than one answer names are spread over all of them.
+//! Callers are spread over all routers of a zone, even if one lookup answer cannot list them all.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -13,24 +13,24 @@
 }
 
 #[test]
-fn each_router_of_a_large_zone_is_named_as_often_as_the_others() {
+fn the_routers_of_a_large_zone_are_listed_equally_often() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut counts: HashMap<SocketAddr, u32> = HashMap::new();
     for _ in 0..3_000 {
-        let named = sample_addresses(zone(75), 64, || random.random());
-        let distinct: BTreeSet<_> = named.iter().collect();
+        let sample = sample_addresses(zone(75), 64, || random.random());
+        let distinct: BTreeSet<_> = sample.iter().collect();
         assert_eq!(distinct.len(), 64);
-        for address in named {
+        for address in sample {
             *counts.entry(address).or_default() += 1;
         }
     }
     assert_eq!(counts.len(), 75);
-    // 64 of 75 in 3,000 answers are 2,560; five standard deviations are 97.
+    // A router is expected in 3,000 * 64 / 75 = 2,560 answers; five standard deviations are 97.
     assert!(counts.values().all(|count| (2_463..=2_657).contains(count)));
 }
 
 #[test]
-fn all_routers_of_a_small_zone_are_named() {
+fn all_routers_of_a_small_zone_are_listed() {
     assert_eq!(sample_addresses(zone(64), 64, || 0.999), zone(64));
     assert_eq!(sample_addresses(zone(65), 64, || 1.0).len(), 64);
 }
--- a/crates/sapphiretrack-routing/tests/event_stream.rs
+++ b/crates/sapphiretrack-routing/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Events are cut where they end, however their bytes arrive.
+//! The event splitter returns whole events however their bytes arrive.
 
 use proptest::prelude::*;
 use sapphiretrack_routing::{EventSplitter, StreamFault};
@@ -20,38 +20,38 @@
 
 proptest! {
     #[test]
-    fn cuts_do_not_matter(
+    fn events_do_not_depend_on_chunk_lengths(
         data in prop::collection::vec("[a-z ]{0,20}", 1..12),
         crlf in any::<bool>(),
-        cuts in prop::collection::vec(1_usize..7, 1..200),
+        chunk_lengths in prop::collection::vec(1_usize..7, 1..200),
     ) {
         let line_end = if crlf { "\r\n" } else { "\n" };
-        let texts: Vec<String> = data
+        let encoded: Vec<String> = data
             .iter()
             .enumerate()
             .map(|(index, data)| event(index as u64 + 1, data, line_end))
             .collect();
-        let whole = texts.concat().into_bytes();
+        let whole = encoded.concat().into_bytes();
         let mut splitter = EventSplitter::default();
-        let mut found = Vec::new();
+        let mut events = Vec::new();
         let mut rest = whole.as_slice();
-        let mut cuts = cuts.into_iter().cycle();
+        let mut chunk_lengths = chunk_lengths.into_iter().cycle();
         while !rest.is_empty() {
-            let length = cuts.next().expect("cycles").min(rest.len());
+            let length = chunk_lengths.next().expect("the iterator cycles").min(rest.len());
             splitter.push(&rest[..length]);
             rest = &rest[length..];
-            found.extend(all_events(&mut splitter).expect("in order"));
+            events.extend(all_events(&mut splitter).expect("the ids are in order"));
         }
         prop_assert!(!splitter.has_partial());
-        prop_assert_eq!(found.len(), texts.len());
-        for (index, (id, bytes)) in found.into_iter().enumerate() {
+        prop_assert_eq!(events.len(), encoded.len());
+        for (index, (id, bytes)) in events.into_iter().enumerate() {
             prop_assert_eq!(id, Some(index as u64 + 1));
-            prop_assert_eq!(bytes, texts[index].as_bytes());
+            prop_assert_eq!(bytes, encoded[index].as_bytes());
         }
     }
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut splitter = EventSplitter::default();
         splitter.push(&bytes);
         let events = all_events(&mut splitter);
@@ -63,20 +63,25 @@
 }
 
 #[test]
-fn a_gap_and_a_repeat_are_faults() {
+fn missing_and_repeated_event_ids_are_faults() {
     for found in [1, 3] {
         let mut splitter = EventSplitter::after(Some(1));
         splitter.push(event(found, "x", "\n").as_bytes());
-        let fault = splitter.next_event().expect_err("out of order");
+        let fault = splitter.next_event().expect_err("the id is out of order");
         assert_eq!(fault, StreamFault::OutOfOrder { last: 1, found });
     }
 }
 
 #[test]
-fn an_unfinished_event_is_held_back() {
+fn an_incomplete_event_is_held_back() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n");
-    assert_eq!(all_events(&mut splitter).expect("in order").len(), 1);
+    assert_eq!(
+        all_events(&mut splitter)
+            .expect("the ids are in order")
+            .len(),
+        1
+    );
     assert!(splitter.has_partial());
     assert_eq!(splitter.last_id(), Some(1));
 }
--- a/crates/sapphiretrack-routing/tests/retry_share.rs
+++ b/crates/sapphiretrack-routing/tests/retry_share.rs
@@ -1,4 +1,4 @@
-//! The shares of all routers together stay within the fleet's budget.
+//! The retry shares of all routers together stay within the fleet's budget.
 
 use proptest::prelude::*;
 use sapphiretrack_routing::{RetrySettings, RetryShare};
@@ -12,7 +12,7 @@
 
 proptest! {
     #[test]
-    fn all_routers_together_keep_the_budget(
+    fn all_routers_together_stay_within_the_budget(
         routers in 1_usize..12,
         steps in prop::collection::vec((0_usize..12, 0_u64..60, 0_u8..4), 200..1_500),
     ) {
@@ -20,8 +20,8 @@
         let mut now_ms = 100_000;
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
-        for (router, pause, kind) in steps {
-            now_ms += pause;
+        for (router, pause_ms, kind) in steps {
+            now_ms += pause_ms;
             let share = &mut shares[router % routers];
             if kind == 0 {
                 share.note_request("s", now_ms);
@@ -30,7 +30,8 @@
                 repeats.push(now_ms);
             }
         }
-        // Any window of the repeats against the requests of that window and the one before.
+        // Compares the repeats in any window with the requests in that window, in the one before,
+        // or in the one that starts half a window earlier, whichever are the most.
         for &start in &repeats {
             let within = |times: &[u64], from: u64, to: u64| {
                 times.iter().filter(|time| (from..to).contains(*time)).count() as f64
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_service_that_fails_as_a_whole_gets_no_second_tries() {
+fn a_service_that_fails_as_a_whole_gets_no_retries() {
     let mut share = RetryShare::new(SETTINGS);
     for _ in 0..30 {
         share.note_request("s", 1_000);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn what_was_spent_is_forgotten_after_the_window() {
+fn spent_repeats_do_not_count_after_the_window() {
     let mut share = RetryShare::new(RetrySettings {
         ratio: 0.0,
         fixed: 4.0,
@@ -74,16 +75,26 @@
     assert!(share.try_repeat("s", 1, 10_500));
 }
 
-/// The load: more requests than a service has room for, some of which fail.
+/// Guards against second attempts that take the place of first ones at a service without free
+/// capacity.
 #[test]
-fn a_full_service_gets_no_second_attempts_until_it_had_room_for_a_while() {
+fn a_full_service_gets_no_second_attempts_until_it_had_capacity_for_a_while() {
     let mut share = RetryShare::new(SETTINGS);
     assert!(!share.is_full("s", 100_000));
     assert!(share.note_full("s", 100_000), "it was not full before");
     assert!(share.is_full("s", 100_999));
-    assert!(!share.is_full("other", 100_500), "another service has room");
-    assert!(!share.note_full("s", 100_900), "told once while it lasts");
-    assert!(share.is_full("s", 101_899), "the last refusal counts");
+    assert!(
+        !share.is_full("other", 100_500),
+        "another service has capacity"
+    );
+    assert!(
+        !share.note_full("s", 100_900),
+        "reported once while it lasts"
+    );
+    assert!(
+        share.is_full("s", 101_899),
+        "the time counts from the last refusal"
+    );
     assert!(!share.is_full("s", 101_900));
     let mut never = RetryShare::new(RetrySettings {
         full_ms: 0,
--- a/crates/sapphiretrack-routing/tests/stop.rs
+++ b/crates/sapphiretrack-routing/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop serves on, then refuses, then ends in time.
+//! The phases of a planned stop: the router serves, then refuses new requests, then ends in time.
 
 use proptest::prelude::*;
 use sapphiretrack_routing::{StopPhase, StopTimes};
@@ -6,31 +6,31 @@
 const TIMES: StopTimes = StopTimes { grace_ms: 8_000 };
 
 #[test]
-fn the_phases_follow_each_other() {
+fn the_phases_follow_the_time_and_the_requests_in_flight() {
     assert_eq!(TIMES.phase(0, 1, 0), StopPhase::Serving);
     assert_eq!(
         TIMES.phase(0, 0, 60_000),
         StopPhase::Serving,
-        "callers still know the address"
+        "callers still hold the address"
     );
     assert_eq!(TIMES.phase(2_600, 3, 0), StopPhase::Finishing);
     assert_eq!(TIMES.phase(3_100, 0, 3_100), StopPhase::Over);
     assert_eq!(
         TIMES.phase(7_000, 1, 0),
         StopPhase::Finishing,
-        "a long request runs on"
+        "a long request continues"
     );
     assert_eq!(TIMES.phase(7_700, 1, 0), StopPhase::Over);
 }
 
 proptest! {
     #[test]
-    fn it_never_ends_with_a_request_before_the_last_sixth_of_the_grace(
-        grace_ms in 4_000_u64..60_000, part in 0_u64..5, in_flight in 1_usize..50, quiet in 0_u64..90_000,
+    fn a_router_with_requests_does_not_end_before_the_last_sixth_of_the_grace_period(
+        grace_ms in 4_000_u64..60_000, sixths in 0_u64..5, in_flight in 1_usize..50, quiet_ms in 0_u64..90_000,
     ) {
         let times = StopTimes { grace_ms };
-        let since_ms = grace_ms / 6 * part;
-        prop_assert_ne!(times.phase(since_ms, in_flight, quiet), StopPhase::Over);
-        prop_assert_eq!(times.phase(grace_ms, in_flight, quiet), StopPhase::Over);
+        let since_ms = grace_ms / 6 * sixths;
+        prop_assert_ne!(times.phase(since_ms, in_flight, quiet_ms), StopPhase::Over);
+        prop_assert_eq!(times.phase(grace_ms, in_flight, quiet_ms), StopPhase::Over);
     }
 }
