--- a/crates/sapphiretrack-router/src/admission.rs
+++ b/crates/sapphiretrack-router/src/admission.rs
@@ -1,4 +1,4 @@
-//! Lets a request in or refuses it: route, key, body.
+//! Admission of requests: route lookup, key check and reading of the body.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, OnceLock};
@@ -21,13 +21,13 @@
 use crate::refusal::Refusal;
 use crate::shared::{InFlight, InForce, Shared};
 
-/// How long after the start of the process requests wait until it is ready.
-const START_MS: u64 = 400;
-/// How often they look.
-const START_CHECK: Duration = Duration::from_millis(10);
+/// Requests that arrive within this time after process start wait until the router is ready.
+const STARTUP_WAIT_MS: u64 = 400;
+/// The interval at which waiting requests check whether the router is ready.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Checks a request and reads its body.
-pub(crate) async fn accept(
+/// Checks a request against the configuration in force, picks its service and reads its body.
+pub(crate) async fn receive_request(
     shared: &Arc<Shared>,
     interface: Interface,
     head: Parts,
@@ -42,55 +42,57 @@
         };
         let phase = times.phase(since_ms, shared.in_flight(), shared.quiet_ms());
         if phase != StopPhase::Serving {
-            return Err(Refusal::elsewhere("leaving"));
+            return Err(Refusal::retryable("leaving"));
         }
     }
-    wait_for_start(shared).await;
+    wait_until_ready(shared).await;
     let in_force = shared.in_force(arrived_ms);
-    let in_force = in_force.ok_or_else(|| Refusal::elsewhere("no-configuration"))?;
+    let in_force = in_force.ok_or_else(|| Refusal::retryable("no-configuration"))?;
     let Admitted { route, tenant } = admit(&in_force, &facts, head.uri.path())?;
     let route = route.clone();
     let tenant = tenant.cloned();
     let service = route.pick_target(rand::rng().random());
     let Some(service) = service.map(str::to_owned) else {
-        return Err(Refusal::elsewhere("route-without-service"));
+        return Err(Refusal::retryable("route-without-service"));
     };
     let limit = in_force.configuration.limits.body_bytes;
-    let too_large = || Refusal::final_status(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large");
-    let expected = body.size_hint().exact().map_or(0, |bytes| bytes as usize);
-    if expected > limit {
+    let too_large = || Refusal::permanent(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large");
+    let declared_bytes = body.size_hint().exact().map_or(0, |bytes| bytes as usize);
+    if declared_bytes > limit {
         return Err(too_large());
     }
-    let waits_ms = facts.deadline_ms.unwrap_or(route.timeout_ms);
-    let waits_ms = waits_ms.min(route.timeout_ms);
+    let timeout_ms = facts.deadline_ms.unwrap_or(route.timeout_ms);
+    let timeout_ms = timeout_ms.min(route.timeout_ms);
     let read = Limited::new(body, limit).collect();
-    let read = timeout(Duration::from_millis(waits_ms), read).await;
+    let read = timeout(Duration::from_millis(timeout_ms), read).await;
     let body = match read {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(too_large()),
         Ok(Err(_)) => {
             let status = StatusCode::BAD_REQUEST;
-            return Err(Refusal::final_status(status, "body-broke-off"));
+            return Err(Refusal::permanent(status, "body-broke-off"));
         }
         Err(_) => {
             let status = StatusCode::REQUEST_TIMEOUT;
-            return Err(Refusal::final_status(status, "body-too-slow"));
+            return Err(Refusal::permanent(status, "body-too-slow"));
         }
     };
-    let memory = shared.reserve_body(body.len());
-    let memory = memory.ok_or_else(|| Refusal::elsewhere("no-memory"))?;
+    let body_memory = shared.reserve_body(body.len());
+    let body_memory = body_memory.ok_or_else(|| Refusal::retryable("no-memory"))?;
     let mut headers = head.headers;
     strip_connection_headers(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
-    let label = tenant.as_ref().map_or("anonymous", |one| one.name.as_str());
+    let label = tenant
+        .as_ref()
+        .map_or("anonymous", |tenant| tenant.name.as_str());
     Ok(Job {
         labels: shared.metrics.labels(label, &route.name),
         priority: tenant
             .as_ref()
-            .and_then(|one| one.priority)
+            .and_then(|tenant| tenant.priority)
             .unwrap_or(route.priority),
-        tenant: tenant.map(|one| one.name),
-        logs_all: shared.logs_in_full(&facts.id),
+        tenant: tenant.map(|tenant| tenant.name),
+        logs_all: shared.is_log_sampled(&facts.id),
         shared: shared.clone(),
         interface,
         facts,
@@ -102,33 +104,34 @@
         service,
         fingerprint: OnceLock::new(),
         arrived_ms,
-        ends_ms: arrived_ms + waits_ms,
+        expires_ms: arrived_ms + timeout_ms,
         has_ended: AtomicBool::new(false),
         _in_flight: in_flight,
-        _body_memory: memory,
+        _body_memory: body_memory,
     })
 }
 
-/// Holds a request that comes in the first moments of this process, until it knows what to do with
-/// it: where a whole fleet starts again there is no other router to go to.
-async fn wait_for_start(shared: &Shared) {
-    while shared.uptime_ms() < START_MS && shared.state() == RouterState::NotReady {
-        sleep(START_CHECK).await;
+/// Delays a request that arrives right after process start until the router is ready. When the
+/// whole fleet restarts at once, no other router could serve it.
+async fn wait_until_ready(shared: &Shared) {
+    while shared.uptime_ms() < STARTUP_WAIT_MS && shared.state() == RouterState::NotReady {
+        sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
-/// What the configuration in force says of a request that it lets through.
+/// The result of admitting a request under the configuration in force.
 pub(crate) struct Admitted<'a> {
-    /// Its route.
+    /// The route that matches the request.
     pub(crate) route: &'a Route,
     tenant: Option<&'a Tenant>,
 }
 
-/// The route of a request and its tenant, by the configuration in force.
+/// Finds the route and the tenant of a request in the configuration in force.
 ///
-/// A router that does not know whether its configuration is the newest denies nothing and lets
-/// no key through: both could be wrong. One that knows of a newer configuration handles no request that
-/// may have to follow it. Both say that the request has not run.
+/// A router that cannot prove that its configuration is the newest neither rejects a request with a
+/// final status nor accepts a key, because either decision could be wrong. A router that knows of a
+/// newer configuration refuses every request to which that one may apply. Both refusals state that
+/// the request has not run and may be sent to another router.
 pub(crate) fn admit<'a>(
     in_force: &'a InForce,
     facts: &RequestFacts,
@@ -140,22 +143,22 @@
         is_usable,
     } = in_force;
     if !is_usable {
-        return Err(Refusal::elsewhere("configuration-replaced"));
+        return Err(Refusal::retryable("configuration-replaced"));
     }
     let Some(route) = configuration.route(&facts.host, path) else {
         return Err(match fresh {
-            true => Refusal::final_status(StatusCode::NOT_FOUND, "no-route"),
-            false => Refusal::elsewhere("configuration-stale"),
+            true => Refusal::permanent(StatusCode::NOT_FOUND, "no-route"),
+            false => Refusal::retryable("configuration-stale"),
         });
     };
     if configuration.needs_key(route) && !fresh {
-        return Err(Refusal::elsewhere("keys-stale"));
+        return Err(Refusal::retryable("keys-stale"));
     }
     match configuration.tenant(route, facts.key.as_deref()) {
         Ok(tenant) => Ok(Admitted { route, tenant }),
         Err(RouteError::UnknownKey | RouteError::NoRoute) => Err(match fresh {
-            true => Refusal::final_status(StatusCode::UNAUTHORIZED, "unknown-key"),
-            false => Refusal::elsewhere("configuration-stale"),
+            true => Refusal::permanent(StatusCode::UNAUTHORIZED, "unknown-key"),
+            false => Refusal::retryable("configuration-stale"),
         }),
     }
 }
--- a/crates/sapphiretrack-router/src/answer.rs
+++ b/crates/sapphiretrack-router/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: their bodies, and this router's own refusals and failures.
+//! Responses to callers: bodies, responses that this router generates, and hop-by-hop headers.
 
 use std::pin::Pin;
 
@@ -10,53 +10,55 @@
 use http_body_util::{BodyExt, Full, StreamBody};
 use snafu::Snafu;
 
-/// A body that is cut off: the caller must see that it is not complete.
+/// A response body that cannot be completed. The connection is aborted, so that the caller sees
+/// that the body is incomplete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer was cut off: {reason}"))]
+#[snafu(display("response body truncated: {reason}"))]
 pub(crate) struct CutOff {
     pub(crate) reason: &'static str,
 }
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, CutOff>;
 
-/// Pieces of a streamed body.
-pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, CutOff>> + Send>>;
+/// The frames of a streamed body.
+pub(crate) type FrameStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, CutOff>> + Send>>;
 
-/// A body that is known as a whole.
+/// A body whose bytes are all available.
 pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A body that is passed on in pieces.
-pub(crate) fn streamed(pieces: Pieces) -> AnswerBody {
-    StreamBody::new(pieces).boxed_unsync()
+/// A body that is forwarded as its frames arrive.
+pub(crate) fn streamed(frames: FrameStream) -> AnswerBody {
+    StreamBody::new(frames).boxed_unsync()
 }
 
-/// An answer of this router's own. A status that promises that nothing ran must be true.
-pub(crate) fn own_answer(
+/// A response that this router generates. Callers must not pass a status which promises that the
+/// request has not run unless that is certain.
+pub(crate) fn generated_response(
     status: StatusCode,
     reason: &'static str,
     retry_after_ms: Option<u64>,
 ) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(Bytes::from_static(reason.as_bytes())));
-    *answer.status_mut() = status;
-    let headers = answer.headers_mut();
+    let mut response = Response::new(whole(Bytes::from_static(reason.as_bytes())));
+    *response.status_mut() = status;
+    let headers = response.headers_mut();
     let text = HeaderValue::from_static("text/plain");
     headers.insert(header::CONTENT_TYPE, text);
     if let Some(retry_after_ms) = retry_after_ms {
         let seconds = format!("{:.2}", retry_after_ms as f64 / 1_000.0);
-        // Digits and a point are always a valid value.
+        // Digits and a decimal point always form a valid header value.
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(header::RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers, including those that the `connection` header names.
 pub(crate) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -68,7 +70,7 @@
     for name in named {
         headers.remove(name);
     }
-    let fixed = [
+    let always_removed = [
         header::CONNECTION,
         header::TRANSFER_ENCODING,
         header::TE,
@@ -80,7 +82,7 @@
         HeaderName::from_static("keep-alive"),
         HeaderName::from_static("proxy-connection"),
     ];
-    for name in fixed {
+    for name in always_removed {
         headers.remove(name);
     }
 }
--- a/crates/sapphiretrack-router/src/attempt.rs
+++ b/crates/sapphiretrack-router/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one backend server, up to the head of its answer.
+//! A single attempt: sends a request to one backend server and reads the head of the response.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -13,58 +13,58 @@
 use crate::crashes::note_break;
 use crate::events::{Event, note};
 use crate::job::Job;
-use crate::placing::{NoServer, Placed};
+use crate::placing::{Placement, PlacementError};
 use crate::ports::{AnswerFacts, AttemptHeaders};
 use crate::server_pool::{Connection, PoolError};
 
-/// How long the short body of a refusal may take before its connection is given up.
-const REFUSAL_BODY_MS: u64 = 100;
-/// The longest body of a refusal that is read to keep the connection.
-const REFUSAL_BODY_BYTES: usize = 16 * 1024;
-/// The part of a server's connections that all routers together use: the rest is for callers of
-/// the server beside this fleet, and for routers that this one has not seen.
-const CONNECTIONS_PART: f64 = 0.8;
+/// The time limit for reading the body of a refusal; after it, the connection is closed.
+const REFUSAL_BODY_TIMEOUT_MS: u64 = 100;
+/// The longest body of a refusal that is read to make the connection reusable.
+const MAX_REFUSAL_BODY_BYTES: usize = 16 * 1024;
+/// The fraction of a server's connection limit that all routers together may use. The rest is left
+/// to clients outside the fleet and to routers that this one has not seen yet.
+const CONNECTION_FRACTION: f64 = 0.8;
 
-/// A server's answer whose body is still to be read.
+/// A server's response whose body has not been read yet.
 pub(crate) struct ServerAnswer {
-    /// Its status and headers.
+    /// The status and the headers.
     pub(crate) head: Parts,
-    /// What decides about it.
+    /// What the response head states about the attempt and the connection.
     pub(crate) facts: AnswerFacts,
-    /// Its body.
+    /// The unread body.
     pub(crate) body: Incoming,
-    /// The connection, to be kept after the whole body.
+    /// The connection, reusable once the whole body has been read.
     pub(crate) connection: Connection,
-    /// Where it runs.
-    pub(crate) placed: Placed,
+    /// The placement on the server that sent the response.
+    pub(crate) placed: Placement,
 }
 
-/// How an attempt ended without an answer.
+/// Why an attempt ended without a usable response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AttemptFailure {
-    /// There is no server to send it to.
-    Unplaced(NoServer),
-    /// Its caller waits no longer; nothing was sent.
+    /// No server could be chosen.
+    NotPlaced(PlacementError),
+    /// The caller's deadline has passed; nothing was sent.
     NoTimeLeft,
-    /// Nothing was sent.
+    /// The request was not sent, for the given reason.
     NotSent(&'static str),
-    /// The server says that it did not run the request.
+    /// The server stated that it did not run the request.
     NotRun(&'static str),
-    /// It crashes its servers.
+    /// The request is blocked because it has crashed too many servers.
     Blocked,
-    /// It may have run.
+    /// The server failed or its response is unusable; the request may have run.
     MayHaveRun(&'static str),
-    /// Its connection ended before its answer; it may have run.
+    /// The connection was lost before the response was complete; the request may have run.
     Broke(&'static str),
-    /// No answer in the time that was left; it may have run.
+    /// The response was not complete in time; the request may have run.
     TimedOut(&'static str),
 }
 
 impl AttemptFailure {
-    /// Its name in logs and metrics.
+    /// The reason as it appears in logs, metrics and responses.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            Self::Unplaced(none) => none.as_str(),
+            Self::NotPlaced(error) => error.as_str(),
             Self::NoTimeLeft => "no-time-left",
             Self::Blocked => "crashes-servers",
             Self::NotSent(reason)
@@ -83,9 +83,9 @@
         )
     }
 
-    /// Counts the failure against its server and writes it to the log.
-    pub(crate) fn tell(self, job: &Job, placed: &Placed) {
-        // A used-up share of connections says nothing about the server.
+    /// Counts the failure against the server and logs it.
+    pub(crate) fn tell(self, job: &Job, placed: &Placement) {
+        // Running out of this router's share of connections says nothing about the server's health.
         if self != Self::NotSent("connections-used") {
             placed.note_outcome(true);
         }
@@ -113,18 +113,19 @@
     }
 }
 
-/// Sends a request to the server it is placed on and waits for the head of the answer. Each time
-/// that `attempt_timeout_ms` pass without it, `gives_up` says whether to leave this server.
-pub(crate) async fn send_attempt<GivesUp>(
+/// Sends a request to the server it was placed on and waits for the head of the response. Each time
+/// `attempt_timeout_ms` elapses without one, `should_abandon` decides whether to abandon this server.
+/// Records and logs a failure.
+pub(crate) async fn send_attempt<ShouldAbandon>(
     job: &Job,
     service: &Service,
-    placed: Placed,
+    placed: Placement,
     resume_after: Option<u64>,
     attempt_timeout_ms: u64,
-    gives_up: GivesUp,
+    should_abandon: ShouldAbandon,
 ) -> Result<ServerAnswer, AttemptFailure>
 where
-    GivesUp: FnMut(&Placed) -> bool,
+    ShouldAbandon: FnMut(&Placement) -> bool,
 {
     let result = try_send(
         job,
@@ -132,7 +133,7 @@
         placed,
         resume_after,
         attempt_timeout_ms,
-        gives_up,
+        should_abandon,
     )
     .await;
     if let Err((placed, failure)) = &result {
@@ -141,33 +142,35 @@
     result.map_err(|(_, failure)| failure)
 }
 
-async fn try_send<GivesUp>(
+async fn try_send<ShouldAbandon>(
     job: &Job,
     service: &Service,
-    placed: Placed,
+    placed: Placement,
     resume_after: Option<u64>,
     attempt_timeout_ms: u64,
-    mut gives_up: GivesUp,
-) -> Result<ServerAnswer, (Placed, AttemptFailure)>
+    mut should_abandon: ShouldAbandon,
+) -> Result<ServerAnswer, (Placement, AttemptFailure)>
 where
-    GivesUp: FnMut(&Placed) -> bool,
+    ShouldAbandon: FnMut(&Placement) -> bool,
 {
     let shared = &job.shared;
     let routers = shared.peers().may_exist() + 1;
-    let share = f64::from(service.max_connections) * CONNECTIONS_PART / routers as f64;
+    let share = f64::from(service.max_connections) * CONNECTION_FRACTION / routers as f64;
     let limit = (share as u32).max(1);
     let connect_ms = shared.settings().times.connect_ms.min(attempt_timeout_ms);
     let configuration = shared.configuration.load();
-    let configuration_version = configuration.as_ref().map_or(0, |one| one.version);
-    let mut fresh = false;
+    let configuration_version = configuration
+        .as_ref()
+        .map_or(0, |configuration| configuration.version);
+    let mut force_new = false;
     loop {
         let connection = shared
             .pool
-            .get(&placed.server, limit, connect_ms, fresh)
+            .get(&placed.server, limit, connect_ms, force_new)
             .await;
         let mut connection = match connection {
             Ok(connection) => connection,
-            Err(PoolError::NoneFree { .. }) => {
+            Err(PoolError::LimitReached { .. }) => {
                 return Err((placed, AttemptFailure::NotSent("connections-used")));
             }
             Err(PoolError::Unreachable { source }) => {
@@ -204,47 +207,47 @@
                 configuration_age_ms = shared.configuration_age_ms().unwrap_or(u64::MAX),
             );
         }
-        let answer = {
+        let response = {
             let mut sending = pin!(connection.send(request));
             loop {
                 let left_ms = job.left_ms();
                 let limit = Duration::from_millis(attempt_timeout_ms.clamp(1, left_ms.max(1)));
-                if let Ok(answer) = timeout(limit, &mut sending).await {
-                    break answer;
+                if let Ok(response) = timeout(limit, &mut sending).await {
+                    break response;
                 }
-                if job.left_ms() == 0 || gives_up(&placed) {
+                if job.left_ms() == 0 || should_abandon(&placed) {
                     return Err((placed, AttemptFailure::TimedOut("no-answer")));
                 }
             }
         };
-        let answer = match answer {
-            Ok(answer) => answer,
+        let response = match response {
+            Ok(response) => response,
             Err(mut error) => {
-                let unsent = error.take_message().is_some();
-                if unsent && connection.is_reused && !fresh {
-                    // The server closed the kept connection before anything was written.
-                    fresh = true;
+                let was_not_sent = error.take_message().is_some();
+                if was_not_sent && connection.is_reused && !force_new {
+                    // The server closed the reused connection before anything was written to it.
+                    force_new = true;
                     continue;
                 }
-                let failure = match unsent {
+                let failure = match was_not_sent {
                     true => AttemptFailure::NotSent("connection-closed"),
                     false => AttemptFailure::Broke("connection-broke"),
                 };
                 return Err((placed, failure));
             }
         };
-        return judge(job, placed, connection, answer).await;
+        return check_response(job, placed, connection, response).await;
     }
 }
 
-/// Believes an answer only if it is this attempt's and the server's own.
-async fn judge(
+/// Accepts a response only if it belongs to this attempt and comes from the intended server.
+async fn check_response(
     job: &Job,
-    placed: Placed,
+    placed: Placement,
     connection: Connection,
-    answer: http::Response<Incoming>,
-) -> Result<ServerAnswer, (Placed, AttemptFailure)> {
-    let (head, body) = answer.into_parts();
+    response: http::Response<Incoming>,
+) -> Result<ServerAnswer, (Placement, AttemptFailure)> {
+    let (head, body) = response.into_parts();
     let facts = (job.interface.read_answer)(&head);
     if facts.wrong_server || facts.not_run {
         let reason = match facts.wrong_server {
@@ -254,17 +257,17 @@
         if facts.wrong_server {
             placed.note_unreachable();
         }
-        let whole = Limited::new(body, REFUSAL_BODY_BYTES).collect();
-        let limit = Duration::from_millis(REFUSAL_BODY_MS);
-        let is_mine = facts.request_id.as_deref() == Some(&*job.facts.id);
-        if let Ok(Ok(_)) = timeout(limit, whole).await
-            && is_mine
+        let read_body = Limited::new(body, MAX_REFUSAL_BODY_BYTES).collect();
+        let limit = Duration::from_millis(REFUSAL_BODY_TIMEOUT_MS);
+        let is_own_response = facts.request_id.as_deref() == Some(&*job.facts.id);
+        if let Ok(Ok(_)) = timeout(limit, read_body).await
+            && is_own_response
         {
             connection.keep(facts.keep_alive_s);
         }
         return Err((placed, AttemptFailure::NotRun(reason)));
     }
-    let flaw = if facts.request_id.as_deref() != Some(&*job.facts.id) {
+    let problem = if facts.request_id.as_deref() != Some(&*job.facts.id) {
         Some("answer-of-another-request")
     } else if head.status.is_success() && !facts.is_signed {
         Some("answer-not-signed")
@@ -275,8 +278,8 @@
     } else {
         None
     };
-    if let Some(flaw) = flaw {
-        return Err((placed, AttemptFailure::MayHaveRun(flaw)));
+    if let Some(problem) = problem {
+        return Err((placed, AttemptFailure::MayHaveRun(problem)));
     }
     Ok(ServerAnswer {
         head,
@@ -287,10 +290,10 @@
     })
 }
 
-/// The request as the server gets it.
+/// Builds the request that is sent to the server.
 fn attempt_request(
     job: &Job,
-    placed: &Placed,
+    placed: &Placement,
     resume_after: Option<u64>,
     left_ms: u64,
 ) -> Request<Full<bytes::Bytes>> {
--- a/crates/sapphiretrack-router/src/crashes.rs
+++ b/crates/sapphiretrack-router/src/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that crash their servers: evidence, its exchange between routers, and refusals.
+//! Requests that crash backend servers: collects evidence, exchanges it between routers and blocks
+//! the requests.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -20,32 +21,36 @@
 use crate::shared::Shared;
 use crate::watch::CallReason;
 
-/// When a server is asked for a connection after one broke, each time this much later: a process that ends
-/// closes its connections one by one, and its listener may be the last.
-const PROBE_PAUSES_MS: [u64; 4] = [0, 20, 100, 400];
-/// How long a connection may take.
-const PROBE_MS: u64 = 250;
-/// When records are sent, each time this much later: datagrams may be lost.
-const REPEAT_PAUSES_MS: [u64; 4] = [0, 100, 300, 900];
-/// How often two routers compare what they know.
-const COMPARE: Duration = Duration::from_millis(250);
-/// Routers that are asked each time.
-const COMPARED: usize = 2;
-/// How long after its start a router asks though it knows nothing.
-const START_MS: u64 = 10_000;
-/// Routers that learn of the first crash under a request: two of them may be lost before the second one.
-const STEWARDS: usize = 3;
-/// The pause after a call to the store that failed, which doubles.
-const STORE_RETRY_MS: u64 = 100;
-/// How often it doubles.
-const MAX_DOUBLINGS: u32 = 5;
+/// The delays before each probe of a server after a connection to it was lost. Several probes are
+/// needed because a process that ends closes its connections one by one, and its listener may be
+/// the last to close.
+const PROBE_DELAYS_MS: [u64; 4] = [0, 20, 100, 400];
+/// The time limit for the connection attempt of a probe.
+const PROBE_TIMEOUT_MS: u64 = 250;
+/// The delays before each transmission of new records, which are repeated because datagrams may be
+/// lost.
+const SEND_DELAYS_MS: [u64; 4] = [0, 100, 300, 900];
+/// The interval at which this router compares its records with those of other routers.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
+/// The number of routers that it compares with each time.
+const COMPARED_ROUTERS: usize = 2;
+/// A router that has no records queries others only within this time after its start.
+const STARTUP_QUERY_MS: u64 = 10_000;
+/// The number of routers that receive reports of a request's first crash. Two of them may be lost
+/// before the second crash without losing the evidence.
+const REPORT_RECIPIENTS: usize = 3;
+/// The base delay of the backoff after failed calls to the store, which doubles with each failure.
+const STORE_RETRY_DELAY_MS: u64 = 100;
+/// The most doublings of the backoff delay.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// Servers whose connections broke and that may have ended, with the requests that ran there.
+/// Servers that may have crashed because connections to them were lost, with the requests that ran
+/// on these connections.
 #[derive(Debug, Default)]
-pub(crate) struct Suspects(Vec<(Incarnation, Vec<Fingerprint>)>);
+pub(crate) struct SuspectedServers(Vec<(Incarnation, Vec<Fingerprint>)>);
 
-impl Suspects {
-    /// Adds a request; whether the server was not suspected before.
+impl SuspectedServers {
+    /// Adds a request to a server; true if the server was not suspected before.
     fn add(&mut self, server: Incarnation, fingerprint: Fingerprint) -> bool {
         if let Some((_, requests)) = self.0.iter_mut().find(|(known, _)| *known == server) {
             requests.push(fingerprint);
@@ -61,95 +66,98 @@
     }
 }
 
-/// Requests of which the store keeps that they are refused.
+/// Tracks which blocked requests are recorded in the store.
 #[derive(Debug, Default)]
-pub(crate) struct KeptCrashes {
-    /// Those that are refused here: only of these the store may know.
+pub(crate) struct StoredBlocks {
+    /// The requests that this router blocks; only these may have a record in the store.
     blocked: HashSet<Fingerprint>,
-    /// Those whose record in the store is to be brought in line.
-    waiting: Vec<Fingerprint>,
+    /// The requests whose record in the store has yet to be updated.
+    pending: Vec<Fingerprint>,
 }
 
-impl KeptCrashes {
-    /// Notes whether a request is refused now; `writes` says whether this router writes it to the store.
-    /// Returns whether there is something to write now.
-    fn note(&mut self, fingerprint: Fingerprint, is_blocked: bool, writes: bool) -> bool {
+impl StoredBlocks {
+    /// Records whether a request is blocked now. If that changed and `writes_store` is set,
+    /// queues the request for an update of its record in the store and returns true.
+    fn note(&mut self, fingerprint: Fingerprint, is_blocked: bool, writes_store: bool) -> bool {
         let has_changed = match is_blocked {
             true => self.blocked.insert(fingerprint),
             false => self.blocked.remove(&fingerprint),
         };
-        if has_changed && writes {
-            self.waiting.push(fingerprint);
+        if has_changed && writes_store {
+            self.pending.push(fingerprint);
         }
-        has_changed && writes
+        has_changed && writes_store
     }
 }
 
-/// Notes that a request's connection broke while its server ran it. If the server turns out to have ended
-/// without notice, that is evidence against all requests that broke with it.
+/// Records that a request's connection was lost while the server ran it. If the server turns out to
+/// have crashed, that is evidence against all requests whose connections were lost with it.
 pub(crate) fn note_break(job: &Job, server: &Arc<ServerEntry>) {
     let shared = &job.shared;
     let services = shared.servers.load();
     let listed = services.get(&server.service);
     let is_listed =
         listed.is_some_and(|list| list.iter().any(|one| one.incarnation == server.incarnation));
-    // A server on a planned stop ends its connections when its time is up.
+    // An unlisted server is leaving or gone: it closes its connections at the end of a planned
+    // stop.
     if !is_listed {
         return;
     }
-    let is_new = shared.suspects().add(server.incarnation, job.fingerprint());
+    let is_new = shared
+        .suspected_servers()
+        .add(server.incarnation, job.fingerprint());
     if is_new {
-        tokio::spawn(confirm(shared.clone(), server.clone()));
+        tokio::spawn(probe_server(shared.clone(), server.clone()));
     }
 }
 
-/// Asks a server whose connections broke for another one: one that ended refuses.
-async fn confirm(shared: Arc<Shared>, server: Arc<ServerEntry>) {
-    let mut has_ended = false;
-    for pause_ms in PROBE_PAUSES_MS {
+/// Probes a server whose connections were lost, and records a crash if it refuses new connections.
+async fn probe_server(shared: Arc<Shared>, server: Arc<ServerEntry>) {
+    let mut has_crashed = false;
+    for pause_ms in PROBE_DELAYS_MS {
         sleep(Duration::from_millis(pause_ms)).await;
         let connection = TcpStream::connect(server.address);
-        let limit = Duration::from_millis(PROBE_MS);
-        // One that cannot be reached at all may be behind a lost link.
+        let limit = Duration::from_millis(PROBE_TIMEOUT_MS);
+        // Only a refused connection proves a crash: a timeout may be a network failure.
         let is_refused =
             |error: &std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
         if timeout(limit, connection)
             .await
             .is_ok_and(|made| made.is_err_and(|error| is_refused(&error)))
         {
-            has_ended = true;
+            has_crashed = true;
             break;
         }
     }
-    let requests = shared.suspects().take(server.incarnation);
-    if !has_ended {
+    let requests = shared.suspected_servers().take(server.incarnation);
+    if !has_crashed {
         return;
     }
     let now_ms = Clock.now_ms();
-    let mut news = Vec::new();
+    let mut new_records = Vec::new();
     {
         let mut evidence = shared.crash_evidence();
         for fingerprint in requests {
-            news.extend(evidence.note_crash(fingerprint, server.incarnation.0, now_ms));
+            new_records.extend(evidence.note_crash(fingerprint, server.incarnation.0, now_ms));
         }
     }
     note!(
         Event::SERVER_CRASHED,
         server = server.id,
-        requests = news.len()
+        requests = new_records.len()
     );
-    note_news(&shared, &news, "own");
-    shared.announce_crashes(&news);
+    note_new_records(&shared, &new_records, "own");
+    shared.announce_crashes(&new_records);
 }
 
-/// Notes that a request got a whole answer, which clears it of what is known against it.
+/// Records that a request got a complete response, which voids the evidence against it.
 pub(crate) fn note_answered(job: &Job) {
-    if let Some(fingerprint) = suspected(job) {
-        clear(&job.shared, fingerprint);
+    if let Some(fingerprint) = suspected_fingerprint(job) {
+        void_evidence(&job.shared, fingerprint);
     }
 }
 
-/// The requests that are refused, a line each.
+/// Lists the blocked requests as text, one per line.
 pub(crate) fn blocked_requests(shared: &Shared) -> String {
     let max_crashes = shared.settings().attempts.max_crashes;
     let now_ms = Clock.now_ms();
@@ -169,7 +177,7 @@
     lines.collect()
 }
 
-/// Lets a blocked request through again, at all routers; whether there is one with this hash.
+/// Unblocks a request at all routers; false if no blocked request has this hash.
 pub(crate) fn lift_block(shared: &Shared, hash: u128) -> bool {
     let max_crashes = shared.settings().attempts.max_crashes;
     let blocked = shared.crash_evidence().with_crashes(max_crashes);
@@ -177,28 +185,29 @@
     let Some(fingerprint) = blocked.find(|fingerprint| fingerprint.hash == hash) else {
         return false;
     };
-    clear(shared, fingerprint);
+    void_evidence(shared, fingerprint);
     true
 }
 
-/// Makes void what is known against a request, at all routers.
-fn clear(shared: &Shared, fingerprint: Fingerprint) {
+/// Voids the evidence against a request at all routers.
+fn void_evidence(shared: &Shared, fingerprint: Fingerprint) {
     let now_ms = Clock.now_ms();
     let voided = shared.crash_evidence().note_answered(fingerprint, now_ms);
     if !voided.is_empty() {
-        note_news(shared, &voided, "own");
+        note_new_records(shared, &voided, "own");
         shared.announce_crashes(&voided);
     }
 }
 
-/// How many servers a request is known to have crashed.
-pub(crate) fn crashes(job: &Job) -> usize {
-    let fingerprint = suspected(job);
+/// The number of servers that a request is known to have crashed.
+pub(crate) fn crash_count(job: &Job) -> usize {
+    let fingerprint = suspected_fingerprint(job);
     fingerprint.map_or(0, |one| job.shared.crash_evidence().crashes(one))
 }
 
-/// The fingerprint of a request of which anything may be known.
-fn suspected(job: &Job) -> Option<Fingerprint> {
+/// The fingerprint of a request for which there may be evidence. The cheap outline is checked first
+/// to avoid computing fingerprints of all other requests.
+fn suspected_fingerprint(job: &Job) -> Option<Fingerprint> {
     let may_know = {
         let evidence = job.shared.crash_evidence();
         !evidence.is_empty() && evidence.may_know(job.outline())
@@ -206,28 +215,30 @@
     may_know.then(|| job.fingerprint())
 }
 
-/// Logs what is new of requests that crash servers.
-fn note_news(shared: &Shared, news: &[CrashRecord], from: &str) {
+/// Logs new records, and queues blocked or unblocked requests for the store.
+fn note_new_records(shared: &Shared, new_records: &[CrashRecord], from: &str) {
     let max_crashes = shared.settings().attempts.max_crashes;
     let now_ms = Clock.now_ms();
-    // A restart of the whole fleet leaves only what the store keeps. Few routers write it, and who saw it.
-    let keeps = from != "store" && (from == "own" || shared.is_watcher());
-    for record in news {
-        let (crashes, known) = {
+    // Only the store's records survive a restart of the whole fleet. They are written by the router
+    // that observed the crash and by the watchers, so that not every router writes them.
+    let writes_store = from != "store" && (from == "own" || shared.is_watcher());
+    for record in new_records {
+        let (crashes, record_count) = {
             let evidence = shared.crash_evidence();
-            let known = evidence.records_of(record.fingerprint, now_ms).len();
-            (evidence.crashes(record.fingerprint), known)
+            let record_count = evidence.records_of(record.fingerprint, now_ms).len();
+            (evidence.crashes(record.fingerprint), record_count)
         };
         let is_blocked = crashes >= max_crashes;
         if shared
-            .kept_crashes()
-            .note(record.fingerprint, is_blocked, keeps)
+            .stored_blocks()
+            .note(record.fingerprint, is_blocked, writes_store)
         {
-            shared.kept_crashes_changed.notify_one();
+            shared.stored_blocks_changed.notify_one();
         }
         let event = match record.is_void {
-            // One crash is evidence against all that ran there, most of which did no harm.
-            _ if known < 2 => continue,
+            // A single crash is evidence against all requests on that server, most of them
+            // harmless.
+            _ if record_count < 2 => continue,
             true => Event::REQUEST_CLEARED,
             false if is_blocked => Event::REQUEST_BLOCKED,
             false => Event::REQUEST_SUSPECTED,
@@ -243,66 +254,67 @@
     }
 }
 
-/// Announces what is new to other routers, until the process ends.
+/// Sends new records to other routers, until the process ends.
 pub(crate) async fn send_crash_news(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     loop {
-        shared.crash_news.notified().await;
-        let news = News::of(&shared, shared.take_crash_announcements());
-        // Later news do not wait for the repeats of earlier ones.
-        tokio::spawn(news.send_repeatedly(shared.clone(), socket.clone()));
+        shared.crashes_announced.notified().await;
+        let update = CrashUpdate::of(&shared, shared.take_crash_announcements());
+        // A separate task, so that newer records do not wait for the repeats of older ones.
+        tokio::spawn(update.send_repeatedly(shared.clone(), socket.clone()));
     }
 }
 
-/// Records that are new here.
-struct News {
-    /// For all routers: all records of the requests that they belong to.
-    shared: Vec<CrashRecord>,
-    /// For the stewards of their requests.
-    reports: Vec<CrashRecord>,
+/// New records to be sent to other routers.
+struct CrashUpdate {
+    /// All records of the affected requests that every router must know; sent to all routers.
+    for_all: Vec<CrashRecord>,
+    /// Records of first crashes, sent only to the few routers responsible for each request.
+    first_crashes: Vec<CrashRecord>,
 }
 
-impl News {
+impl CrashUpdate {
     fn of(shared: &Shared, records: Vec<CrashRecord>) -> Self {
         let now_ms = Clock.now_ms();
         let evidence = shared.crash_evidence();
         let is_shared = |record: &CrashRecord| evidence.is_shared(record.fingerprint);
-        let (to_all, reports): (Vec<_>, Vec<_>) = records.into_iter().partition(is_shared);
+        let (to_all, first_crashes): (Vec<_>, Vec<_>) = records.into_iter().partition(is_shared);
         let requests: HashSet<Fingerprint> = to_all.iter().map(|one| one.fingerprint).collect();
         let all = requests.into_iter();
         Self {
-            shared: all
+            for_all: all
                 .flat_map(|request| evidence.records_of(request, now_ms))
                 .collect(),
-            reports,
+            first_crashes,
         }
     }
 
     async fn send_repeatedly(self, shared: Arc<Shared>, socket: Arc<UdpSocket>) {
         let first_turn = rand::random::<u16>() as usize;
-        for (turn, pause_ms) in REPEAT_PAUSES_MS.into_iter().enumerate() {
+        for (turn, pause_ms) in SEND_DELAYS_MS.into_iter().enumerate() {
             sleep(Duration::from_millis(pause_ms)).await;
-            for records in self.shared.chunks(CrashEvidence::MAX_SENT) {
-                let message = encode(&message(&shared, records.to_vec(), true));
+            for records in self.for_all.chunks(CrashEvidence::MAX_SENT) {
+                let message = encode(&crashes_message(&shared, records.to_vec(), true));
                 send_to_all(&shared, &socket, first_turn + turn, &message).await;
             }
-            for (steward, records) in self.reports_by_steward(&shared) {
+            for (recipient, records) in self.reports_by_recipient(&shared) {
                 let message = encode(&RouterMessage::CrashReports(records));
-                drop(socket.send_to(&message, steward).await);
+                drop(socket.send_to(&message, recipient).await);
             }
         }
     }
 
-    fn reports_by_steward(&self, shared: &Shared) -> HashMap<SocketAddr, Vec<CrashRecord>> {
+    fn reports_by_recipient(&self, shared: &Shared) -> HashMap<SocketAddr, Vec<CrashRecord>> {
         let settings = shared.settings();
         let own = (settings.name.as_str(), settings.peer_address);
         let (peers, now_ms) = (shared.peers(), Clock.now_ms());
         let mut reports: HashMap<SocketAddr, Vec<CrashRecord>> = HashMap::new();
-        for record in &self.reports {
+        for record in &self.first_crashes {
             let key = record.fingerprint.hash as u64;
-            for steward in peers.stewards(key, own, STEWARDS, now_ms) {
-                let is_other = steward != settings.peer_address;
-                let records = is_other.then(|| reports.entry(steward).or_default());
-                // A crash takes no more requests with it than a server runs.
+            for recipient in peers.stewards(key, own, REPORT_RECIPIENTS, now_ms) {
+                let is_other = recipient != settings.peer_address;
+                let records = is_other.then(|| reports.entry(recipient).or_default());
+                // Caps the message. A crash affects no more requests than one server runs, so that
+                // the cap rarely drops any.
                 let records = records.filter(|records| records.len() < CrashEvidence::MAX_SENT);
                 records
                     .into_iter()
@@ -313,31 +325,33 @@
     }
 }
 
-/// Takes in reports of first crashes; what is not the first one goes to all.
+/// Merges reports of first crashes, and announces those that turn out to be later ones to all
+/// routers.
 pub(crate) fn take_crash_reports(shared: &Shared, from: SocketAddr, records: &[CrashRecord]) {
-    let news = merge_crashes(shared, records, &from.to_string());
+    let new_records = merge_crashes(shared, records, &from.to_string());
     let is_shared = |record: &CrashRecord| shared.crash_evidence().is_shared(record.fingerprint);
-    let second: Vec<CrashRecord> = news.into_iter().filter(is_shared).collect();
-    if !second.is_empty() {
-        shared.announce_crashes(&second);
+    let shared_records: Vec<CrashRecord> = new_records.into_iter().filter(is_shared).collect();
+    if !shared_records.is_empty() {
+        shared.announce_crashes(&shared_records);
     }
 }
 
-/// Compares what is known with other routers, until the process ends: repairs what was lost.
+/// Periodically compares records with other routers to repair lost messages, and expires old
+/// records, until the process ends.
 pub(crate) async fn compare_crashes(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     loop {
-        sleep(COMPARE).await;
+        sleep(COMPARE_INTERVAL).await;
         let expired = shared.crash_evidence().expire(Clock.now_ms());
         if !expired.is_empty() && shared.is_watcher() {
             for fingerprint in expired {
                 let is_blocked = !blocked_records(&shared, fingerprint).is_empty();
-                if shared.kept_crashes().note(fingerprint, is_blocked, true) {
-                    shared.kept_crashes_changed.notify_one();
+                if shared.stored_blocks().note(fingerprint, is_blocked, true) {
+                    shared.stored_blocks_changed.notify_one();
                 }
             }
         }
-        let knows_nothing = shared.crash_evidence().digest() == 0;
-        if knows_nothing && shared.uptime_ms() >= START_MS {
+        let has_no_records = shared.crash_evidence().digest() == 0;
+        if has_no_records && shared.uptime_ms() >= STARTUP_QUERY_MS {
             continue;
         }
         let others: Vec<SocketAddr> = {
@@ -345,16 +359,19 @@
             let recipients = peers.recipients(Clock.now_ms()).into_iter();
             recipients.map(|one| one.address).collect()
         };
-        let message = encode(&message(&shared, Vec::new(), false));
-        let asked: Vec<SocketAddr> = others.sample(&mut rand::rng(), COMPARED).copied().collect();
+        let message = encode(&crashes_message(&shared, Vec::new(), false));
+        let asked: Vec<SocketAddr> = others
+            .sample(&mut rand::rng(), COMPARED_ROUTERS)
+            .copied()
+            .collect();
         for address in asked {
-            // A lost question is asked again, of another router.
+            // If the datagram is lost, the next round asks other routers.
             drop(socket.send_to(&message, address).await);
         }
     }
 }
 
-fn message(shared: &Shared, records: Vec<CrashRecord>, is_final: bool) -> RouterMessage {
+fn crashes_message(shared: &Shared, records: Vec<CrashRecord>, is_final: bool) -> RouterMessage {
     RouterMessage::Crashes {
         records,
         digest: shared.crash_evidence().digest(),
@@ -362,18 +379,19 @@
     }
 }
 
-/// Takes in records of another router or of the store; those that were news.
+/// Merges records of another router or of the store; returns those that were new.
 pub(crate) fn merge_crashes(
     shared: &Shared,
     records: &[CrashRecord],
     from: &str,
 ) -> Vec<CrashRecord> {
-    let news = shared.crash_evidence().merge(records, Clock.now_ms());
-    note_news(shared, &news, from);
-    news
+    let new_records = shared.crash_evidence().merge(records, Clock.now_ms());
+    note_new_records(shared, &new_records, from);
+    new_records
 }
 
-/// Takes in another router's records, and the answer to it if that router knows something else.
+/// Merges another router's records; returns this router's records as the reply if the digests still
+/// differ and a reply is expected.
 pub(crate) fn take_crashes(
     shared: &Shared,
     from: SocketAddr,
@@ -386,17 +404,17 @@
         return None;
     }
     let own = shared.crash_evidence().shared_records(Clock.now_ms());
-    Some(message(shared, own, !records.is_empty()))
+    Some(crashes_message(shared, own, !records.is_empty()))
 }
 
-/// Brings what the store keeps of requests that are refused in line with what is known here, until the
+/// Keeps the store's records of blocked requests up to date with those of this router, until the
 /// process ends.
 pub(crate) async fn keep_crashes(shared: Arc<Shared>, store: Arc<StorePort>) {
     loop {
-        shared.kept_crashes_changed.notified().await;
+        shared.stored_blocks_changed.notified().await;
         let mut failures = 0;
         loop {
-            let next = shared.kept_crashes().waiting.pop();
+            let next = shared.stored_blocks().pending.pop();
             let Some(fingerprint) = next else {
                 break;
             };
@@ -407,16 +425,16 @@
             let reason = CallReason::Crashes;
             shared.note_store_call(Listing::Routers, reason, sent_ms, outcome);
             if answer.is_err() {
-                shared.kept_crashes().waiting.push(fingerprint);
+                shared.stored_blocks().pending.push(fingerprint);
                 failures += 1;
-                let pause_ms = STORE_RETRY_MS << failures.min(MAX_DOUBLINGS);
+                let pause_ms = STORE_RETRY_DELAY_MS << failures.min(MAX_BACKOFF_DOUBLINGS);
                 sleep(Duration::from_millis(pause_ms)).await;
             }
         }
     }
 }
 
-/// What is known against a request, if it is refused for it.
+/// The records of a request if it is blocked, otherwise none.
 fn blocked_records(shared: &Shared, fingerprint: Fingerprint) -> Vec<CrashRecord> {
     let max_crashes = shared.settings().attempts.max_crashes;
     let evidence = shared.crash_evidence();
--- a/crates/sapphiretrack-router/src/dispatch.rs
+++ b/crates/sapphiretrack-router/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request to its answer: attempts, what follows a failed one, the truth at the end.
+//! Handles a caller's request: runs attempts, decides on retries and builds the final response.
 
 use std::sync::Arc;
 
@@ -8,40 +8,40 @@
 use sapphiretrack_core::DrainRate;
 use sapphiretrack_routing::{Configuration, Incarnation, RequestKind};
 
-use crate::admission::{accept, admit};
-use crate::answer::{AnswerBody, own_answer};
+use crate::admission::{admit, receive_request};
+use crate::answer::{AnswerBody, generated_response};
 use crate::attempt::{AttemptFailure, ServerAnswer, send_attempt};
 use crate::clock::Clock;
-use crate::crashes::crashes;
+use crate::crashes::crash_count;
 use crate::events::{Event, note};
 use crate::job::Job;
-use crate::placing::{NoServer, Placed, PlacementRequest, place};
+use crate::placing::{Placement, PlacementError, PlacementRequest, place};
 use crate::ports::Interface;
 use crate::refusal::{Refusal, refuse};
 use crate::relay::{self, ReadAnswer};
 use crate::shared::Shared;
 
-/// What became of a request's attempts so far.
+/// Counts of a request's attempts so far.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
-    /// Servers that it was offered to, or that could not be reached.
+    /// Servers that the request was placed on, including those that could not be reached.
     pub(crate) tried: Vec<Incarnation>,
-    /// Servers that may have run it.
-    pub(crate) runs: u32,
-    /// Servers that it was sent to.
+    /// Attempts in which the request may have run.
+    pub(crate) possible_runs: u32,
+    /// Attempts in which the request was sent.
     pub(crate) offers: u32,
-    /// Servers whose connection broke before the answer.
-    pub(crate) breaks: usize,
+    /// Attempts whose connection was lost before the response was complete.
+    pub(crate) connection_losses: usize,
 }
 
 impl Attempts {
-    /// Counts a failure whose connection broke.
+    /// Counts a failure if the connection was lost.
     pub(crate) fn note_break(&mut self, failure: AttemptFailure) {
-        self.breaks += usize::from(matches!(failure, AttemptFailure::Broke(_)));
+        self.connection_losses += usize::from(matches!(failure, AttemptFailure::Broke(_)));
     }
 }
 
-/// Answers one request of a caller.
+/// Handles one request of a caller and returns the response.
 pub(crate) async fn answer_request(
     shared: Arc<Shared>,
     interface: Interface,
@@ -53,50 +53,51 @@
     let facts = match (interface.read_request)(&head) {
         Ok(facts) => facts,
         Err(error) => {
-            let refusal = Refusal::final_status(StatusCode::BAD_REQUEST, error.reason);
+            let refusal = Refusal::permanent(StatusCode::BAD_REQUEST, error.reason);
             return refuse(&shared, "", refusal, leaving);
         }
     };
     let id = facts.id.clone();
-    let job = match accept(&shared, interface, head, facts, body, in_flight).await {
+    let job = match receive_request(&shared, interface, head, facts, body, in_flight).await {
         Ok(job) => job,
         Err(refusal) => return refuse(&shared, &id, refusal, leaving),
     };
-    let mut answer = run(Arc::new(job)).await;
+    let mut response = run_attempts(Arc::new(job)).await;
     if shared.leaving_for_ms().is_some() {
         let close = header::HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    answer
+    response
 }
 
 impl Job {
-    /// How long an attempt may be silent before it is asked whether another server may be tried.
+    /// How long an attempt may go without a response before the router checks whether to try
+    /// another server. An attempt that cannot be followed by another one may use all the time left.
     fn attempt_timeout_ms(&self, attempts: &Attempts) -> u64 {
-        let repeatable = self.route.kind.may_run_again();
-        let last = attempts.runs + 1 >= self.route.max_attempts;
-        if !repeatable || last {
+        let may_run_again = self.route.kind.may_run_again();
+        let is_last_attempt = attempts.possible_runs + 1 >= self.route.max_attempts;
+        if !may_run_again || is_last_attempt {
             return self.left_ms();
         }
-        let silent = self.shared.settings().attempts.silent_objectives;
-        let attempt_timeout_ms = (self.route.objective_ms as f64 * silent) as u64;
+        let objectives = self.shared.settings().attempts.silent_objectives;
+        let attempt_timeout_ms = (self.route.objective_ms as f64 * objectives) as u64;
         attempt_timeout_ms.min(self.left_ms() / 2)
     }
 
-    /// Checks again, right before a send, what may have changed since the request came: its route
-    /// and its key.
-    fn check_again(&self) -> Result<Arc<Configuration>, Refusal> {
+    /// Repeats the admission check right before a send, because the route or the key may have
+    /// changed since the request arrived.
+    fn recheck_admission(&self) -> Result<Arc<Configuration>, Refusal> {
         let in_force = self.shared.in_force(self.arrived_ms);
-        let in_force = in_force.ok_or_else(|| Refusal::elsewhere("no-configuration"))?;
+        let in_force = in_force.ok_or_else(|| Refusal::retryable("no-configuration"))?;
         let admitted = admit(&in_force, &self.facts, self.uri.path())?;
         let mut targets = admitted.route.targets.iter();
         if !targets.any(|target| target.service == self.service) {
-            return Err(Refusal::elsewhere("route-moved"));
+            return Err(Refusal::retryable("route-moved"));
         }
         Ok(in_force.configuration)
     }
 
-    /// Sends the request until a server answers it, or no further attempt is allowed.
+    /// Sends the request to servers until one responds or no further attempt is allowed.
     pub(crate) async fn attempt(
         &self,
         attempts: &mut Attempts,
@@ -112,10 +113,10 @@
         if self.is_blocked(attempts) {
             return Err(AttemptFailure::Blocked);
         }
-        // Whether the repeat that comes next was already taken from the budget.
-        let mut has_repeat = false;
+        // Whether the retry budget was already charged for the next attempt.
+        let mut retry_reserved = false;
         loop {
-            let configuration = match self.check_again() {
+            let configuration = match self.recheck_admission() {
                 Ok(configuration) => configuration,
                 Err(refusal) => return Err(AttemptFailure::NotSent(refusal.reason)),
             };
@@ -131,23 +132,25 @@
                 tried: &attempts.tried,
             };
             let placed = place(&self.shared, request);
-            let placed = placed.map_err(|none| self.note_unplaced(none))?;
-            if attempts.offers > 0 && !has_repeat && !self.may_repeat() {
+            let placed = placed.map_err(|error| self.note_placement_failure(error))?;
+            if attempts.offers > 0 && !retry_reserved && !self.try_reserve_retry() {
                 return Err(AttemptFailure::NotSent("retry-budget"));
             }
             attempts.tried.push(placed.server.incarnation);
-            let warm = match placed.cached_tokens {
+            let cache_state = match placed.cached_tokens {
                 0 => "cold",
                 _ => "warm",
             };
-            self.shared.metrics.placed(warm);
-            has_repeat = false;
+            self.shared.metrics.placed(cache_state);
+            retry_reserved = false;
             let attempt_timeout_ms = self.attempt_timeout_ms(attempts);
-            // A request that waits its turn is better off there than without any server: it leaves
-            // only a silent one, and only if it may be sent again.
-            let gives_up = |placed: &Placed| {
-                has_repeat = placed.is_silent() && !self.is_service_full() && self.may_repeat();
-                has_repeat
+            // A request that is queued at a responsive server keeps its place, since another server
+            // may have no room for it. It abandons only an unresponsive server, and only if the
+            // service is not full and the retry budget allows another attempt.
+            let should_abandon = |placed: &Placement| {
+                retry_reserved =
+                    placed.is_unresponsive() && !self.is_service_full() && self.try_reserve_retry();
+                retry_reserved
             };
             let sent = send_attempt(
                 self,
@@ -155,28 +158,28 @@
                 placed,
                 resume_after,
                 attempt_timeout_ms,
-                gives_up,
+                should_abandon,
             )
             .await;
             let failure = match sent {
-                Ok(answer) => {
+                Ok(response) => {
                     attempts.offers += 1;
-                    attempts.runs += 1;
-                    return Ok(answer);
+                    attempts.possible_runs += 1;
+                    return Ok(response);
                 }
                 Err(failure) => failure,
             };
             match failure {
                 AttemptFailure::NoTimeLeft => return Err(failure),
                 AttemptFailure::Blocked
-                | AttemptFailure::Unplaced(_)
+                | AttemptFailure::NotPlaced(_)
                 | AttemptFailure::NotSent(_) => {}
                 AttemptFailure::NotRun(_) => attempts.offers += 1,
                 AttemptFailure::MayHaveRun(_)
                 | AttemptFailure::Broke(_)
                 | AttemptFailure::TimedOut(_) => {
                     attempts.offers += 1;
-                    attempts.runs += 1;
+                    attempts.possible_runs += 1;
                 }
             }
             attempts.note_break(failure);
@@ -186,111 +189,117 @@
         }
     }
 
-    /// Whether it has crashed too many servers to be sent to another one. The last server that it takes to
-    /// show that is not spent by a repeat of this router.
+    /// Whether the request has crashed too many servers to be sent to another one. A retry is
+    /// already refused one crash below the limit, so that a router's own retries do not crash the
+    /// last server.
     fn is_blocked(&self, attempts: &Attempts) -> bool {
-        let crashes = crashes(self);
+        let crashes = crash_count(self);
         let max_crashes = self.shared.settings().attempts.max_crashes;
-        match attempts.runs {
+        match attempts.possible_runs {
             0 => crashes >= max_crashes,
-            _ => crashes.max(attempts.breaks) + 1 >= max_crashes,
+            _ => crashes.max(attempts.connection_losses) + 1 >= max_crashes,
         }
     }
 
     /// Whether another attempt may follow a failed one.
     pub(crate) fn may_go_on(&self, attempts: &Attempts, failure: AttemptFailure) -> bool {
-        let allowed = !failure.may_have_run() || self.route.kind.may_run_again();
-        allowed
+        let is_allowed = !failure.may_have_run() || self.route.kind.may_run_again();
+        is_allowed
             && !self.is_service_full()
-            && attempts.runs < self.route.max_attempts.max(1)
+            && attempts.possible_runs < self.route.max_attempts.max(1)
             && (attempts.tried.len() as u32) < self.shared.settings().attempts.max_offers
             && self.left_ms() > 0
     }
 
-    /// Notes why there is no server.
-    fn note_unplaced(&self, none: NoServer) -> AttemptFailure {
-        if none == NoServer::AllFull {
+    /// Converts a failed placement into a failure. Records a full service, and logs it if that is
+    /// new.
+    fn note_placement_failure(&self, error: PlacementError) -> AttemptFailure {
+        if error == PlacementError::AllFull {
             let mut traffic = self.shared.traffic();
-            let is_news = traffic.retries.note_full(&self.service, Clock.now_ms());
+            let is_new = traffic.retries.note_full(&self.service, Clock.now_ms());
             drop(traffic);
-            if is_news {
+            if is_new {
                 note!(Event::SERVICE_FULL, service = self.service);
             }
         }
-        AttemptFailure::Unplaced(none)
+        AttemptFailure::NotPlaced(error)
     }
 
-    /// Whether its service lately had no room for a request of this router.
+    /// Whether the service recently had no room for a request of this router.
     fn is_service_full(&self) -> bool {
         let traffic = self.shared.traffic();
         traffic.retries.is_full(&self.service, Clock.now_ms())
     }
 
-    /// Takes one repeat from this router's share of the budget.
-    fn may_repeat(&self) -> bool {
+    /// Charges one retry to this router's share of the retry budget; false if it is used up.
+    fn try_reserve_retry(&self) -> bool {
         let routers = self.shared.peers().may_exist() + 1;
         let mut traffic = self.shared.traffic();
-        let allowed = traffic
+        let is_allowed = traffic
             .retries
             .try_repeat(&self.service, routers, Clock.now_ms());
         drop(traffic);
-        if allowed {
+        if is_allowed {
             self.shared.metrics.repeated("attempt-failed");
         }
-        allowed
+        is_allowed
     }
 }
 
-/// Runs a request's attempts and turns what they end with into the answer.
-async fn run(job: Arc<Job>) -> Response<AnswerBody> {
+/// Runs a request's attempts and builds the response from their result.
+async fn run_attempts(job: Arc<Job>) -> Response<AnswerBody> {
     let mut attempts = Attempts::default();
     let mut server_error = None;
     loop {
-        let answer = match job.attempt(&mut attempts, job.facts.resume_after).await {
-            Ok(answer) => answer,
+        let response = match job.attempt(&mut attempts, job.facts.resume_after).await {
+            Ok(response) => response,
             Err(failure) => {
-                return pass_on_or_give_up(&job, &attempts, failure, server_error);
+                return final_response(&job, &attempts, failure, server_error);
             }
         };
         let streams = matches!(job.route.kind, RequestKind::Stream { .. });
-        if streams && answer.head.status.is_success() {
-            return relay::stream_events(job, attempts, answer);
+        if streams && response.head.status.is_success() {
+            return relay::stream_events(job, attempts, response);
         }
-        let failure = match relay::whole_answer(&job, answer, &attempts).await {
-            Ok(ReadAnswer::Final(answer)) => return answer,
-            Ok(ReadAnswer::ServerError(answer)) => {
-                server_error = Some(answer);
+        let failure = match relay::whole_answer(&job, response, &attempts).await {
+            Ok(ReadAnswer::Final(response)) => return response,
+            Ok(ReadAnswer::ServerError(response)) => {
+                server_error = Some(response);
                 AttemptFailure::MayHaveRun("server-error")
             }
             Err(failure) => failure,
         };
         attempts.note_break(failure);
         if !job.may_go_on(&attempts, failure) {
-            return pass_on_or_give_up(&job, &attempts, failure, server_error);
+            return final_response(&job, &attempts, failure, server_error);
         }
     }
 }
 
-/// A server's own failure goes to the caller if no other server did better.
-fn pass_on_or_give_up(
+/// Passes on a server's own 5xx response if there is one, and fails the request otherwise.
+fn final_response(
     job: &Job,
     attempts: &Attempts,
     failure: AttemptFailure,
     server_error: Option<Response<AnswerBody>>,
 ) -> Response<AnswerBody> {
-    let Some(answer) = server_error else {
-        return give_up(job, attempts, failure);
+    let Some(response) = server_error else {
+        return failure_response(job, attempts, failure);
     };
-    relay::note_answered(job, answer.status(), attempts.offers);
-    answer
+    relay::note_answered(job, response.status(), attempts.offers);
+    response
 }
 
-/// The final answer of a request that no server answered.
-fn give_up(job: &Job, attempts: &Attempts, failure: AttemptFailure) -> Response<AnswerBody> {
+/// Builds the response to a request that no server answered.
+fn failure_response(
+    job: &Job,
+    attempts: &Attempts,
+    failure: AttemptFailure,
+) -> Response<AnswerBody> {
     job.end();
     let reason = failure.as_str();
     let leaving = job.shared.leaving_for_ms().is_some();
-    if attempts.runs > 0 {
+    if attempts.possible_runs > 0 {
         let status = match failure {
             AttemptFailure::TimedOut(_) => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
@@ -304,23 +313,23 @@
             offers = attempts.offers,
             age_ms = job.age_ms(),
         );
-        return own_answer(status, reason, None);
+        return generated_response(status, reason, None);
     }
     if failure == AttemptFailure::Blocked {
-        // Without a time to come back: it is refused for as long as the evidence stands.
-        let refusal = Refusal::final_status(StatusCode::SERVICE_UNAVAILABLE, reason);
+        // No `retry-after`: the request stays refused for as long as the evidence is valid.
+        let refusal = Refusal::permanent(StatusCode::SERVICE_UNAVAILABLE, reason);
         note!(
             Event::BLOCKED_REFUSED,
             id = job.facts.id,
             fingerprint = job.fingerprint(),
-            crashes = crashes(job),
+            crashes = crash_count(job),
         );
         return refuse(&job.shared, &job.facts.id, refusal, leaving);
     }
-    // Nothing ran: the caller may come back, as soon as there is room.
+    // Nothing ran, so the caller may retry as soon as there is room.
     let full = matches!(
         failure,
-        AttemptFailure::Unplaced(NoServer::AllFull) | AttemptFailure::NotRun(_)
+        AttemptFailure::NotPlaced(PlacementError::AllFull) | AttemptFailure::NotRun(_)
     );
     let refusal = match full {
         true => {
@@ -330,10 +339,10 @@
             let wait_ms = drain.map(|drain| drain.retry_after_ms(draw, Clock.now_ms()));
             Refusal {
                 retry_after_ms: wait_ms,
-                ..Refusal::elsewhere(reason)
+                ..Refusal::retryable(reason)
             }
         }
-        false => Refusal::elsewhere(reason),
+        false => Refusal::retryable(reason),
     };
     refuse(&job.shared, &job.facts.id, refusal, leaving)
 }
--- a/crates/sapphiretrack-router/src/job.rs
+++ b/crates/sapphiretrack-router/src/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way: what its attempts need, and how it ended.
+//! An accepted request: the data that its attempts need, and whether its outcome was logged.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -13,62 +13,62 @@
 use crate::ports::Interface;
 use crate::shared::{BodyMemory, InFlight, Shared};
 
-/// A request on its way, with all that attempts need.
+/// An accepted request with everything that its attempts need.
 pub(crate) struct Job {
-    /// The router.
+    /// The state of the router.
     pub(crate) shared: Arc<Shared>,
-    /// How callers and servers speak.
+    /// How headers of callers and backend servers are read and written.
     pub(crate) interface: Interface,
-    /// The request's facts.
+    /// The decoded facts of the request.
     pub(crate) facts: RequestFacts,
-    /// Its method.
+    /// The HTTP method.
     pub(crate) method: Method,
-    /// Its path and query.
+    /// The path and the query.
     pub(crate) uri: Uri,
-    /// Its headers, without those of the connection.
+    /// The headers without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
-    /// Its whole body.
+    /// The complete body.
     pub(crate) body: Bytes,
-    /// The tenant's name.
+    /// The name of the caller's tenant; none for an anonymous request.
     pub(crate) tenant: Option<String>,
-    /// Its rank.
+    /// The priority; 0 is the highest.
     pub(crate) priority: u8,
-    /// The terms of its route.
+    /// The route that it matched.
     pub(crate) route: Route,
-    /// The service that it goes to.
+    /// The name of the service that it goes to.
     pub(crate) service: String,
-    /// Its fingerprint, once it was asked for.
+    /// The fingerprint, computed on first use.
     pub(crate) fingerprint: OnceLock<Fingerprint>,
-    /// Labels of its metrics.
+    /// The labels of its metrics.
     pub(crate) labels: RequestLabels,
-    /// Whether the log tells all of it; failures are always told.
+    /// Whether its normal events are logged; failures always are.
     pub(crate) logs_all: bool,
-    /// When it came.
+    /// When it arrived, by the local clock.
     pub(crate) arrived_ms: u64,
-    /// When its caller waits no longer.
-    pub(crate) ends_ms: u64,
-    /// Whether the log tells how it ended.
+    /// When the caller's deadline or the route's timeout passes, by the local clock.
+    pub(crate) expires_ms: u64,
+    /// Whether its outcome was recorded.
     pub(crate) has_ended: AtomicBool,
-    /// Counts it.
+    /// Counts the request as in flight until it is dropped.
     pub(crate) _in_flight: InFlight,
-    /// Counts its body.
+    /// Accounts for the memory of the body until it is dropped.
     pub(crate) _body_memory: BodyMemory,
 }
 
 impl Job {
-    /// Notes that the log tells how the request ended.
+    /// Records that the request's outcome is known, so that it does not count as abandoned.
     pub(crate) fn end(&self) {
         self.has_ended.store(true, Ordering::Relaxed);
     }
 
-    /// What it has in common with copies of it that come under other ids.
+    /// The fingerprint, which is the same for copies of the request under other ids.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self
             .fingerprint
             .get_or_init(|| Fingerprint::of(&self.identity()))
     }
 
-    /// The cheap part of its fingerprint.
+    /// The part of the fingerprint that is cheap to compute.
     pub(crate) fn outline(&self) -> Outline {
         Outline::of(&self.identity())
     }
@@ -84,12 +84,12 @@
         }
     }
 
-    /// How long the caller still waits.
+    /// The time left until the deadline.
     pub(crate) fn left_ms(&self) -> u64 {
-        self.ends_ms.saturating_sub(Clock.now_ms())
+        self.expires_ms.saturating_sub(Clock.now_ms())
     }
 
-    /// How long ago the request came.
+    /// The time since the request arrived.
     pub(crate) fn age_ms(&self) -> u64 {
         Clock.now_ms().saturating_sub(self.arrived_ms)
     }
@@ -97,7 +97,7 @@
 
 impl Drop for Job {
     fn drop(&mut self) {
-        // Whoever drops a request that has not ended does so because its caller left.
+        // A request without an outcome is dropped only because its caller disconnected.
         if !self.has_ended.load(Ordering::Relaxed) {
             self.shared.metrics.failed("caller-left");
             note!(
--- a/crates/sapphiretrack-router/src/loads.rs
+++ b/crates/sapphiretrack-router/src/loads.rs
@@ -1,4 +1,4 @@
-//! Exchanges the load on servers through collectors, in fleets too large for heartbeats alone.
+//! Exchanges server loads through collectors, for fleets too large to do so by heartbeats alone.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,18 +15,20 @@
 use crate::peer_messages::encode;
 use crate::shared::Shared;
 
-/// The time between two reports of a router.
-const REPORT_MS: u64 = 100;
-/// The time between two sums of a collector.
-const COLLECT_MS: u64 = 100;
-/// Heartbeats that reach every router within this time need no help.
-const FRESH_HEARTBEATS_MS: u64 = 500;
-/// Routers of its availability zone that one may report to, if those before do not answer.
-const CANDIDATES: usize = 8;
-/// Routers of each availability zone that a collector sends to, beside those that send to it.
-const COLLECTORS: usize = 2;
+/// The interval between a router's load reports.
+const REPORT_INTERVAL_MS: u64 = 100;
+/// The interval at which a collector adds up reports.
+const COLLECT_INTERVAL_MS: u64 = 100;
+/// Up to this heartbeat interval, heartbeats alone keep loads fresh enough and no reports are sent.
+const FRESH_HEARTBEAT_INTERVAL_MS: u64 = 500;
+/// The routers of its own availability zone that a router considers as collectors; later ones are
+/// used if earlier ones do not respond.
+const COLLECTOR_CANDIDATES: usize = 8;
+/// The routers of each availability zone that a collector sends its sums to, in addition to those
+/// collectors that it receives sums from.
+const COLLECTORS_PER_ZONE: usize = 2;
 
-/// The exchange of loads: this router's report, and what it collects while others report to it.
+/// The load exchange: this router's own reports, and the reports that it collects from others.
 #[derive(Debug, Default)]
 pub(crate) struct LoadExchange {
     reporter: LoadReporter,
@@ -34,39 +36,40 @@
 }
 
 impl LoadExchange {
-    /// The load of all other routers, if a digest came lately.
+    /// The load caused by all other routers, if a digest arrived recently.
     pub(crate) fn loads(&self, now_ms: u64) -> Option<&LoadsByServer> {
         self.reporter.loads(now_ms)
     }
 
-    /// Takes in a report of another router.
+    /// Records a router's load report.
     pub(crate) fn note_report(&mut self, report: LoadReport) {
         self.collector.note_report(report, Clock.now_ms());
     }
 
-    /// Takes in the sums of another availability zone.
+    /// Records the sums of another collector.
     pub(crate) fn note_zone(&mut self, zone: ZoneLoads) {
         self.collector.note_zone(zone, Clock.now_ms());
     }
 
-    /// Takes in a digest.
+    /// Records a digest from a collector.
     pub(crate) fn note_digest(&mut self, from: SocketAddr, digest: &LoadDigest) {
         let now_ms = Clock.now_ms();
         self.reporter.note_digest(from, &digest.loads, now_ms);
     }
 }
 
-/// Reports this router's load until the process ends.
+/// Sends this router's load to its collectors in large fleets, until the process ends.
 pub(crate) async fn report_loads(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let incarnation = since.map_or(0, |since| since.as_millis() as u64);
     let mut sequence = 0;
     loop {
-        sleep(Duration::from_millis(REPORT_MS)).await;
+        sleep(Duration::from_millis(REPORT_INTERVAL_MS)).await;
         let now_ms = Clock.now_ms();
         let settings = shared.settings();
-        let is_small = shared.peers().heartbeat_interval_ms() <= FRESH_HEARTBEATS_MS;
-        if is_small {
+        let heartbeats_suffice =
+            shared.peers().heartbeat_interval_ms() <= FRESH_HEARTBEAT_INTERVAL_MS;
+        if heartbeats_suffice {
             continue;
         }
         let own_address = settings.peer_address;
@@ -77,7 +80,7 @@
             };
             let own = Some((settings.name.as_str(), own, own_address));
             let peers = shared.peers();
-            peers.first_of_zone(&settings.zone, own, CANDIDATES, now_ms)
+            peers.first_of_zone(&settings.zone, own, COLLECTOR_CANDIDATES, now_ms)
         };
         let loads: Vec<LoadEntry> = shared.own_loads().iter().map(LoadEntry::from).collect();
         let collectors = {
@@ -99,16 +102,16 @@
                 continue;
             }
             let message = encode(&RouterMessage::LoadReport(report));
-            // The next report repeats all of it.
+            // A lost report needs no retry: the next one contains the full load.
             drop(socket.send_to(&message, collector).await);
         }
     }
 }
 
-/// Collects loads while other routers report to this one, until the process ends.
+/// Adds up the loads that other routers report and distributes the sums, until the process ends.
 pub(crate) async fn collect_loads(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     loop {
-        sleep(Duration::from_millis(COLLECT_MS)).await;
+        sleep(Duration::from_millis(COLLECT_INTERVAL_MS)).await;
         let now_ms = Clock.now_ms();
         let settings = shared.settings();
         let own_address = settings.peer_address;
@@ -125,14 +128,14 @@
         {
             let peers = shared.peers();
             for zone in peers.zones() {
-                collectors.extend(peers.first_of_zone(zone, None, COLLECTORS, now_ms));
+                collectors.extend(peers.first_of_zone(zone, None, COLLECTORS_PER_ZONE, now_ms));
             }
         }
         collectors.sort_unstable();
         collectors.dedup();
         let message = encode(&RouterMessage::ZoneLoads(collected.zone));
         for collector in collectors {
-            // The next sums replace these.
+            // Lost sums need no retry: the next ones replace them.
             drop(socket.send_to(&message, collector).await);
         }
         let message = encode(&RouterMessage::LoadDigest(collected.digest.clone()));
--- a/crates/sapphiretrack-router/src/placing.rs
+++ b/crates/sapphiretrack-router/src/placing.rs
@@ -1,4 +1,4 @@
-//! Places a request on a backend server and counts its load there.
+//! Placement of requests on backend servers, and accounting of the load that they cause.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 use crate::settings::RouterSettings;
 use crate::shared::{Shared, Traffic};
 
-/// A request on a server; its load counts until this is dropped.
-pub(crate) struct Placed {
-    /// The server.
+/// A request's placement on a server. Its load counts against the server until this is dropped.
+pub(crate) struct Placement {
+    /// The chosen server.
     pub(crate) server: Arc<ServerEntry>,
-    /// Tokens of the prompt that the server is believed to hold.
+    /// Tokens of the prompt that are expected in the server's cache.
     pub(crate) cached_tokens: u32,
-    /// Requests that all routers were believed to have there.
+    /// Estimated requests in flight at the server from all routers, before this one.
     pub(crate) load: u32,
-    /// Servers that it was chosen from.
+    /// The number of servers that it was chosen from.
     pub(crate) servers: usize,
-    /// A server that holds more of the prompt, to fetch it from.
+    /// A server with more of the prompt in its cache, from which the chosen one may fetch it.
     pub(crate) fetch_from: Option<SocketAddr>,
     shared: Arc<Shared>,
     sent_ms: u64,
@@ -31,19 +31,19 @@
     prefill_tokens: u64,
 }
 
-/// Why there is no server for a request.
+/// Why a request could not be placed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum NoServer {
-    /// The service has no server that takes work.
+pub(crate) enum PlacementError {
+    /// The service has no server that accepts work.
     NoneListed,
-    /// All servers are full.
+    /// All remaining servers are full.
     AllFull,
-    /// The request was sent to all of them.
+    /// The request was already placed on every server.
     AllTried,
 }
 
-impl NoServer {
-    /// Its name in logs and metrics.
+impl PlacementError {
+    /// The reason as it appears in logs, metrics and responses.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NoneListed => "no-server",
@@ -53,8 +53,8 @@
     }
 }
 
-impl Placed {
-    /// Notes bytes of the answer: the prompt has been read.
+impl Placement {
+    /// Records that response bytes arrived, which means that the server has read the prompt.
     pub(crate) fn note_progress(&mut self) {
         let mut traffic = self.shared.traffic();
         let health = traffic.health.entry(self.server.incarnation).or_default();
@@ -63,7 +63,7 @@
         self.prefill_tokens = 0;
     }
 
-    /// Notes how the attempt ended.
+    /// Records how the attempt ended: health, retry statistics, service time and completion rate.
     pub(crate) fn note_outcome(&self, failed: bool) {
         let now_ms = Clock.now_ms();
         let mut traffic = self.shared.traffic();
@@ -83,15 +83,15 @@
         }
     }
 
-    /// Whether the server moves none of this router's requests.
-    pub(crate) fn is_silent(&self) -> bool {
+    /// Whether the server makes no progress on any of this router's requests.
+    pub(crate) fn is_unresponsive(&self) -> bool {
         let traffic = self.shared.traffic();
         let health = traffic.health.get(&self.server.incarnation);
         let settings = self.shared.settings();
-        health.is_none_or(|one| one.is_unresponsive(&settings.health, Clock.now_ms()))
+        health.is_none_or(|health| health.is_unresponsive(&settings.health, Clock.now_ms()))
     }
 
-    /// Notes that no connection could be made.
+    /// Records that the server could not be reached.
     pub(crate) fn note_unreachable(&self) {
         let mut traffic = self.shared.traffic();
         let health = traffic.health.entry(self.server.incarnation).or_default();
@@ -99,7 +99,7 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for Placement {
     fn drop(&mut self) {
         let mut traffic = self.shared.traffic();
         let Some(health) = traffic.health.get_mut(&self.server.incarnation) else {
@@ -111,38 +111,38 @@
     }
 }
 
-/// A request that is to be placed.
+/// The input of a placement.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementRequest<'a> {
-    /// Its service.
+    /// The service that the request goes to.
     pub(crate) service: &'a Service,
-    /// What it says of itself.
+    /// The decoded facts of the request.
     pub(crate) facts: &'a RequestFacts,
-    /// Servers that it was sent to.
+    /// Servers that the request was already placed on.
     pub(crate) tried: &'a [Incarnation],
 }
 
-/// Chooses a server for a request and counts its load there from now on.
+/// Chooses a server for a request and adds the request's load to it.
 pub(crate) fn place(
     shared: &Arc<Shared>,
     request: PlacementRequest<'_>,
-) -> Result<Placed, NoServer> {
+) -> Result<Placement, PlacementError> {
     let servers = shared.servers.load();
     let listed = servers.get(&request.service.name);
     let listed = listed.filter(|list| !list.is_empty());
-    let listed = listed.ok_or(NoServer::NoneListed)?;
+    let listed = listed.ok_or(PlacementError::NoneListed)?;
     let settings = shared.settings();
     let mut traffic = shared.traffic();
     let now_ms = Clock.now_ms();
-    let view = PlacementView {
+    let context = PlacementContext {
         shared,
         settings: &settings,
         traffic: &traffic,
         request,
         now_ms,
     };
-    let candidates = view.candidates(listed);
-    let index = match view.has_outdated_loads() {
+    let candidates = context.candidates(listed);
+    let index = match context.has_outdated_loads() {
         true => draw_server(&candidates, || rand::rng().random()),
         false => choose_server(
             &settings.costs,
@@ -153,17 +153,17 @@
         ),
     };
     let index = index.ok_or_else(|| match candidates.iter().all(|one| one.tried) {
-        true => NoServer::AllTried,
-        false => NoServer::AllFull,
+        true => PlacementError::AllTried,
+        false => PlacementError::AllFull,
     })?;
     let chosen = &candidates[index];
     let holder = fetch_source(&settings.costs, &candidates, index);
-    let held_tokens = holder.map_or(chosen.cached_tokens, |holder| {
+    let reusable_tokens = holder.map_or(chosen.cached_tokens, |holder| {
         candidates[holder].cached_tokens
     });
-    let booking = book(&mut traffic, chosen.server, request.facts, held_tokens);
+    let added_load = add_load(&mut traffic, chosen.server, request.facts, reusable_tokens);
     drop(traffic);
-    Ok(Placed {
+    Ok(Placement {
         server: listed[index].clone(),
         cached_tokens: chosen.cached_tokens,
         load: chosen.in_flight,
@@ -171,39 +171,39 @@
         fetch_from: holder.map(|holder| listed[holder].address),
         shared: shared.clone(),
         sent_ms: now_ms,
-        tokens: booking.tokens,
-        prefill_tokens: booking.prefill_tokens,
+        tokens: added_load.tokens,
+        prefill_tokens: added_load.prefill_tokens,
     })
 }
 
-/// Load that a request puts on its server.
-struct Booking {
+/// The load that a request adds to its server.
+struct RequestLoad {
     tokens: u64,
     prefill_tokens: u64,
 }
 
-/// Counts a request's load at its server.
-fn book(
+/// Adds a request's load to its server.
+fn add_load(
     traffic: &mut Traffic,
     server: Incarnation,
     facts: &RequestFacts,
-    held_tokens: u32,
-) -> Booking {
+    reusable_tokens: u32,
+) -> RequestLoad {
     let now_ms = Clock.now_ms();
-    let booking = Booking {
+    let added_load = RequestLoad {
         tokens: u64::from(facts.prompt_tokens) + u64::from(facts.output_tokens),
-        prefill_tokens: u64::from(facts.prompt_tokens.saturating_sub(held_tokens)),
+        prefill_tokens: u64::from(facts.prompt_tokens.saturating_sub(reusable_tokens)),
     };
     let health = traffic.health.entry(server).or_default();
     health.note_sent(now_ms);
-    health.tokens += booking.tokens;
-    health.prefill_tokens += booking.prefill_tokens;
+    health.tokens += added_load.tokens;
+    health.prefill_tokens += added_load.prefill_tokens;
     traffic.warm.note_sent(server, facts, now_ms);
-    booking
+    added_load
 }
 
-/// What is known when a request looks for a server.
-struct PlacementView<'a> {
+/// The state that a placement decision is based on.
+struct PlacementContext<'a> {
     shared: &'a Shared,
     settings: &'a RouterSettings,
     traffic: &'a Traffic,
@@ -211,8 +211,8 @@
     now_ms: u64,
 }
 
-impl PlacementView<'_> {
-    /// The servers as placement compares them, in the order of the list.
+impl PlacementContext<'_> {
+    /// The listed servers as placement candidates, in the same order.
     fn candidates(&self, listed: &[Arc<ServerEntry>]) -> Vec<Candidate> {
         let peer_loads = self.shared.peer_loads.load();
         let candidates = listed
@@ -223,9 +223,9 @@
         candidates
     }
 
-    /// Whether the other routers' loads are too old to choose a server by.
+    /// Whether the other routers' loads are too old to compare servers by load.
     fn has_outdated_loads(&self) -> bool {
-        // Where a prompt is cached counts for more than who is free.
+        // For engines, the location of the cached prompt matters more than the load.
         if self.request.service.is_engine {
             return false;
         }
@@ -237,19 +237,20 @@
             .is_outdated(service_ms, self.now_ms)
     }
 
-    /// Marks the home of the prompt's last shared prefix, and whether the prefix has several.
+    /// Marks the home server of the prompt's last shared prefix, and whether that prefix has
+    /// several homes.
     fn mark_home(&self, candidates: &mut [Candidate]) {
         let Some(prefix) = self.request.facts.shared_prefixes().last() else {
             return;
         };
         let share = self.traffic.warm.share_of_sends(prefix.id, self.now_ms);
-        let in_flight = candidates.iter().map(|one| one.in_flight).sum();
+        let in_flight = candidates.iter().map(|candidate| candidate.in_flight).sum();
         let homes = home_count(&self.settings.costs, share, in_flight, candidates.len());
-        let servers = candidates.iter().map(|one| one.server);
+        let servers = candidates.iter().map(|candidate| candidate.server);
         let home = preferred_server(prefix, servers, homes, rand::rng().random());
-        for one in candidates {
-            one.is_home = Some(one.server) == home;
-            one.is_hot = homes > 1;
+        for candidate in candidates {
+            candidate.is_home = Some(candidate.server) == home;
+            candidate.is_hot = homes > 1;
         }
     }
 
@@ -284,7 +285,7 @@
         }
     }
 
-    /// The most requests that a server may hold.
+    /// The most requests that a server may hold, running and queued.
     fn capacity(&self, server: &ServerEntry) -> u32 {
         let attempts = &self.settings.attempts;
         match self.request.service.is_engine {
--- a/crates/sapphiretrack-router/src/prefixes.rs
+++ b/crates/sapphiretrack-router/src/prefixes.rs
@@ -1,4 +1,4 @@
-//! Learns after a start which servers hold which prompt prefixes.
+//! Recovers, after a start, which servers have which prompt prefixes cached.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::ports::ListPrefixes;
 use crate::shared::Shared;
 
-/// Asks routers, or the servers if no router knows, until this router knows.
+/// Queries other routers, or the engines if no router knows, until the cached prefixes are known.
 pub(crate) async fn recover_prefixes(
     shared: Arc<Shared>,
     socket: Arc<UdpSocket>,
@@ -38,13 +38,13 @@
             PrefixStep::AskRouter(router) => {
                 let reply_to = shared.settings().peer_address;
                 let message = encode(&RouterMessage::AskPrefixes { reply_to });
-                // A lost question is asked again with the next heartbeat.
+                // If the datagram is lost, the query is repeated after a heartbeat interval.
                 drop(socket.send_to(&message, router).await);
             }
             PrefixStep::AskServers => {
-                ask_servers(&shared, &list_prefixes).await;
+                query_engines(&shared, &list_prefixes).await;
                 shared.prefix_recovery().note_advertised();
-                // The others wait for a router that knows.
+                // Other routers wait until one advertises that it knows.
                 shared.state_changed.notify_one();
             }
         }
@@ -52,8 +52,8 @@
     }
 }
 
-/// Lists the prefixes that the engines hold.
-async fn ask_servers(shared: &Shared, list_prefixes: &ListPrefixes) {
+/// Asks every engine for its cached prefixes and records them.
+async fn query_engines(shared: &Shared, list_prefixes: &ListPrefixes) {
     let Some(configuration) = shared.configuration.load_full() else {
         return;
     };
@@ -64,19 +64,22 @@
     });
     let engines: Vec<_> = engines.flat_map(|(_, servers)| servers).collect();
     let lists = join_all(engines.iter().map(|engine| list_prefixes(engine))).await;
-    let mut known = 0;
+    let mut prefix_count = 0;
     for (engine, list) in engines.iter().zip(lists) {
         match list {
             Ok(prefixes) => {
                 let server = engine.incarnation.0;
-                let sent = prefixes.into_iter().map(|prefix| SentPrefix {
+                let holdings = prefixes.into_iter().map(|prefix| SentPrefix {
                     server,
                     prefix: prefix.id,
                     tokens: prefix.tokens,
                 });
-                let sent: Vec<SentPrefix> = sent.collect();
-                known += sent.len();
-                shared.traffic().warm.note_holdings(&sent, Clock.now_ms());
+                let holdings: Vec<SentPrefix> = holdings.collect();
+                prefix_count += holdings.len();
+                shared
+                    .traffic()
+                    .warm
+                    .note_holdings(&holdings, Clock.now_ms());
             }
             Err(error) => {
                 note!(
@@ -90,6 +93,6 @@
     note!(
         Event::PREFIXES_LISTED,
         servers = engines.len(),
-        prefixes = known
+        prefixes = prefix_count
     );
 }
--- a/crates/sapphiretrack-router/src/refusal.rs
+++ b/crates/sapphiretrack-router/src/refusal.rs
@@ -1,40 +1,41 @@
-//! Refusals of this router's own: the request has not run.
+//! Refusals that this router itself sends for requests that have not run.
 
 use http::{Response, StatusCode, header};
 use rand::RngExt;
 
-use crate::answer::{AnswerBody, own_answer};
+use crate::answer::{AnswerBody, generated_response};
 use crate::events::{Event, note};
 use crate::shared::Shared;
 
-/// When to come back to a fleet of which only this router cannot serve: at once, on a new
-/// connection to another one, spread over a tenth of a second.
-const ELSEWHERE_MS: u64 = 50;
+/// The least retry delay when another router may be able to serve the request. It is short because
+/// the caller can retry on a new connection to another router. The actual delay is spread over a
+/// further 100 ms so that refused callers do not retry all at once.
+const RETRY_DELAY_MS: u64 = 50;
 
-/// A final answer of this router's own.
+/// A refusal of a request that has not run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal {
-    /// Its status.
+    /// The HTTP status.
     pub(crate) status: StatusCode,
-    /// Why, for the log and the caller.
+    /// The reason, for the log and the caller.
     pub(crate) reason: &'static str,
-    /// When the caller may come back.
+    /// How long the caller should wait before it retries; none if a retry cannot help.
     pub(crate) retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// The request has not run; another router may serve it.
-    pub(crate) fn elsewhere(reason: &'static str) -> Self {
-        let spread_ms = rand::rng().random_range(0..2 * ELSEWHERE_MS);
+    /// A 503 refusal with a retry delay: another router may be able to serve the request.
+    pub(crate) fn retryable(reason: &'static str) -> Self {
+        let spread_ms = rand::rng().random_range(0..2 * RETRY_DELAY_MS);
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
             reason,
-            retry_after_ms: Some(ELSEWHERE_MS + spread_ms),
+            retry_after_ms: Some(RETRY_DELAY_MS + spread_ms),
         }
     }
 
-    /// A status that is final whatever router is asked.
-    pub(crate) fn final_status(status: StatusCode, reason: &'static str) -> Self {
+    /// A refusal without a retry delay: asking another router would not help.
+    pub(crate) fn permanent(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
             reason,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Refuses a request that has not run.
+/// Logs and counts a refusal and builds its response.
 pub(crate) fn refuse(
     shared: &Shared,
     id: &str,
@@ -59,10 +60,10 @@
         retry_after_ms = refusal.retry_after_ms.unwrap_or(0),
         configuration_age_ms = shared.configuration_age_ms().unwrap_or(u64::MAX),
     );
-    let mut answer = own_answer(refusal.status, refusal.reason, refusal.retry_after_ms);
+    let mut response = generated_response(refusal.status, refusal.reason, refusal.retry_after_ms);
     if leaving || refusal.status == StatusCode::SERVICE_UNAVAILABLE && refusal.reason == "leaving" {
         let close = header::HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    answer
+    response
 }
--- a/crates/sapphiretrack-router/src/server_pool.rs
+++ b/crates/sapphiretrack-router/src/server_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to backend servers: one request at a time on each, kept while nothing is in doubt.
+//! A pool of connections to backend servers. Each connection carries one request at a time and is
+//! reused only after a complete response.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,165 +16,168 @@
 use crate::clock::Clock;
 use crate::connect::{ConnectError, Driver, connect};
 
-/// How long an idle connection is kept if the server names no limit.
-const IDLE_MS: u64 = 8_000;
-/// Kept free of a server's own limit, so that its close does not cross a request.
+/// How long an idle connection is kept if the server states no keep-alive limit.
+const DEFAULT_IDLE_MS: u64 = 8_000;
+/// The margin by which an idle connection is closed before the server's own limit, so that the
+/// server does not close it while a request is being sent.
 const IDLE_MARGIN_MS: u64 = 1_000;
-/// Idle connections to one server: as many as there are requests at usual load.
+/// The most idle connections to one server: as many as it has requests in flight at usual load.
 const MAX_IDLE: usize = 16;
 
-/// All kept connections.
+/// The connections to all servers.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPool {
-    servers: Mutex<HashMap<Incarnation, Arc<OneServer>>>,
+    servers: Mutex<HashMap<Incarnation, Arc<ServerConnections>>>,
 }
 
 /// The connections of one server.
 #[derive(Debug, Default)]
-struct OneServer {
-    state: Mutex<Connections>,
+struct ServerConnections {
+    state: Mutex<PoolState>,
 }
 
 #[derive(Debug, Default)]
-struct Connections {
-    idle: Vec<Kept>,
+struct PoolState {
+    idle: Vec<IdleConnection>,
     open: u32,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Driver,
     until_ms: u64,
 }
 
-/// A connection that one request uses; it closes when this is dropped.
+/// A connection in use by one request. It is closed on drop unless it was returned with
+/// [`Connection::keep`].
 #[derive(Debug)]
 pub(crate) struct Connection {
-    /// Whether it had carried a request before.
+    /// Whether the connection has carried a request before.
     pub(crate) is_reused: bool,
     open: Option<(SendRequest<Full<Bytes>>, Driver)>,
-    place: Place,
+    slot: Slot,
 }
 
-/// A place among the connections that a server may have of this router.
+/// A slot among the connections that this router may open to a server.
 #[derive(Debug)]
-struct Place(Arc<OneServer>);
+struct Slot(Arc<ServerConnections>);
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.0.lock().open -= 1;
     }
 }
 
-/// Why there is no connection; nothing was sent.
+/// Why no connection is available. Nothing was sent.
 #[derive(Debug, Snafu)]
 pub(crate) enum PoolError {
-    /// This router's share of the server's connections is used up.
+    /// This router's share of the server's connections is in use.
     #[snafu(display("all {limit} connections to the server are in use"))]
-    NoneFree {
-        /// The share.
+    LimitReached {
+        /// The size of the share.
         limit: u32,
     },
-    /// It cannot be made.
+    /// The connection could not be established.
     #[snafu(display("{source}"), context(false))]
     Unreachable {
-        /// Why.
+        /// The cause.
         source: ConnectError,
     },
 }
 
 impl ServerPool {
-    /// A connection to a server: a kept one, or a new one if fewer than `limit` are open.
+    /// Returns an idle connection to a server, or opens a new one if fewer than `limit` are open.
+    /// If `force_new` is set, idle connections are not used.
     pub(crate) async fn get(
         &self,
         server: &ServerEntry,
         limit: u32,
         connect_ms: u64,
-        fresh: bool,
+        force_new: bool,
     ) -> Result<Connection, PoolError> {
-        let one = self.server(server.incarnation);
-        if !fresh && let Some(kept) = one.take_idle(Clock.now_ms()) {
+        let connections = self.server(server.incarnation);
+        if !force_new && let Some(connection) = connections.take_idle(Clock.now_ms()) {
             return Ok(Connection {
                 is_reused: true,
-                open: Some((kept.sender, kept.driver)),
-                place: Place(one),
+                open: Some((connection.sender, connection.driver)),
+                slot: Slot(connections),
             });
         }
-        if !one.reserve(limit) {
-            return Err(PoolError::NoneFree { limit });
+        if !connections.reserve(limit) {
+            return Err(PoolError::LimitReached { limit });
         }
-        let place = Place(one);
+        let slot = Slot(connections);
         let open = connect(server.address, connect_ms).await?;
         Ok(Connection {
             is_reused: false,
             open: Some(open),
-            place,
+            slot,
         })
     }
 
-    /// Closes what idles too long, and all idle connections to servers that are not listed.
+    /// Closes expired idle connections, and all idle connections to servers that are not listed.
     pub(crate) fn sweep<Listed>(&self, is_listed: Listed)
     where
         Listed: Fn(Incarnation) -> bool,
     {
         let now_ms = Clock.now_ms();
         let mut servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
-        servers.retain(|incarnation, one| {
-            let mut state = one.lock();
+        servers.retain(|incarnation, connections| {
+            let mut state = connections.lock();
             let listed = is_listed(*incarnation);
             let before = state.idle.len();
             state
                 .idle
-                .retain(|kept| listed && now_ms < kept.until_ms && kept.sender.is_ready());
+                .retain(|idle| listed && now_ms < idle.until_ms && idle.sender.is_ready());
             state.open -= (before - state.idle.len()) as u32;
             listed || state.open > 0
         });
     }
 
-    fn server(&self, incarnation: Incarnation) -> Arc<OneServer> {
+    fn server(&self, incarnation: Incarnation) -> Arc<ServerConnections> {
         let mut servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
         servers.entry(incarnation).or_default().clone()
     }
 }
 
-impl OneServer {
-    fn lock(&self) -> MutexGuard<'_, Connections> {
+impl ServerConnections {
+    fn lock(&self) -> MutexGuard<'_, PoolState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection that was used last, if it is still good; its place stays taken.
-    fn take_idle(&self, now_ms: u64) -> Option<Kept> {
+    /// Takes the most recently used idle connection that is still usable. It keeps its slot.
+    fn take_idle(&self, now_ms: u64) -> Option<IdleConnection> {
         let mut state = self.lock();
-        while let Some(kept) = state.idle.pop() {
-            if now_ms < kept.until_ms && kept.sender.is_ready() {
-                return Some(kept);
+        while let Some(connection) = state.idle.pop() {
+            if now_ms < connection.until_ms && connection.sender.is_ready() {
+                return Some(connection);
             }
             state.open -= 1;
         }
         None
     }
 
-    /// Takes a place for a new connection.
+    /// Takes a slot for a new connection; false if `limit` is reached.
     fn reserve(&self, limit: u32) -> bool {
         let mut state = self.lock();
         if state.open >= limit {
-            // An idle connection that is no good gives its place up.
+            // Idle connections that are closed free their slots.
             let before = state.idle.len();
-            state.idle.retain(|kept| kept.sender.is_ready());
+            state.idle.retain(|connection| connection.sender.is_ready());
             state.open -= (before - state.idle.len()) as u32;
         }
-        let free = state.open < limit;
-        if free {
+        let has_free_slot = state.open < limit;
+        if has_free_slot {
             state.open += 1;
         }
-        free
+        has_free_slot
     }
 }
 
 impl Connection {
     /// Sends a request. If the connection turns out to be closed before anything was written, the
-    /// request comes back with the error.
+    /// error contains the request.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -182,24 +186,24 @@
         sender.try_send_request(request).await
     }
 
-    /// Keeps the connection for the next request: its answer was whole and nothing is in doubt.
+    /// Returns the connection to the pool. Only valid after a complete response was read.
     pub(crate) fn keep(mut self, keep_alive_s: Option<u64>) {
-        let idle_ms = keep_alive_s.map_or(IDLE_MS, |limit_s| {
+        let idle_ms = keep_alive_s.map_or(DEFAULT_IDLE_MS, |limit_s| {
             (limit_s * 1_000).saturating_sub(IDLE_MARGIN_MS)
         });
         let Some((sender, driver)) = self.open.take() else {
             return;
         };
-        let mut state = self.place.0.lock();
+        let mut state = self.slot.0.lock();
         if idle_ms == 0 || state.idle.len() >= MAX_IDLE {
             return;
         }
-        state.idle.push(Kept {
+        state.idle.push(IdleConnection {
             sender,
             driver,
             until_ms: Clock.now_ms() + idle_ms,
         });
-        // The idle connection keeps the place that this one gives up.
+        // The idle connection takes over the slot that this one frees on drop.
         state.open += 1;
     }
 }
--- a/crates/sapphiretrack-router/src/shared.rs
+++ b/crates/sapphiretrack-router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router share.
+//! State that is shared by the threads of a router.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::clock::Clock;
-use crate::crashes::{KeptCrashes, Suspects};
+use crate::crashes::{StoredBlocks, SuspectedServers};
 use crate::events::{Event, note};
 use crate::loads::LoadExchange;
 use crate::metrics::Metrics;
@@ -26,38 +26,39 @@
 use crate::snapshots::{FetchError, Fetched};
 use crate::watch::CallReason;
 
-/// Backend servers by service, as the traffic thread reads them.
+/// Backend servers that accept new work, by service name.
 pub(crate) type ServersByService = HashMap<String, Vec<Arc<ServerEntry>>>;
 
-/// The state of a router. The control thread writes what comes from the store and the peers, the
-/// traffic thread what its own requests tell.
+/// The state of a router. The control thread writes data from the store and from other routers, the
+/// traffic thread writes what it observes on its own requests.
 pub(crate) struct Shared {
-    /// The settings of the router.
+    /// The settings in force.
     settings: ArcSwap<RouterSettings>,
     /// The configuration in force.
     pub(crate) configuration: ArcSwapOption<Configuration>,
-    /// The backend servers that take new work.
+    /// The backend servers that accept new work.
     pub(crate) servers: ArcSwap<ServersByService>,
-    /// The load that other routers put on servers.
+    /// The load that other routers cause on the servers.
     pub(crate) peer_loads: ArcSwap<PeerLoads>,
-    /// The servers whose entries the store has, for routers that lack them.
+    /// The servers that have an entry in the store, for routers that read the listing from this
+    /// one.
     pub(crate) present_servers: ArcSwap<Vec<Arc<ServerEntry>>>,
-    /// Whether the routers that the store lists are known.
+    /// Whether discovery has finished: the routers that the store lists are known.
     pub(crate) is_discovered: AtomicBool,
-    /// Whether the servers were read at least once.
+    /// Whether the list of servers was read at least once.
     pub(crate) servers_known: AtomicBool,
     /// Counters and histograms.
     pub(crate) metrics: Metrics,
     /// Connections to backend servers.
     pub(crate) pool: ServerPool,
-    /// Wakes whoever waits for a change of this router's own state.
+    /// Notified when this router's advertised state may have changed.
     pub(crate) state_changed: Notify,
-    /// Wakes whoever advertises what a watch of the store brings.
+    /// Notified when there are new results from the store to advertise to other routers.
     pub(crate) listings_read: Notify,
-    /// Wakes whoever announces requests that crash servers to the other routers.
-    pub(crate) crash_news: Notify,
-    /// Wakes whoever writes them to the store.
-    pub(crate) kept_crashes_changed: Notify,
+    /// Notified when there are crash records to announce to other routers.
+    pub(crate) crashes_announced: Notify,
+    /// Notified when the store's records of blocked requests are to be updated.
+    pub(crate) stored_blocks_changed: Notify,
     configuration_watch: SharedWatch,
     servers_watch: SharedWatch,
     peers: Mutex<PeerTable>,
@@ -65,20 +66,20 @@
     traffic: Mutex<Traffic>,
     prefix_recovery: Mutex<PrefixRecovery>,
     log_sampling: Mutex<LogSampling>,
-    /// Changes of servers that wait to be passed on to the other routers.
-    to_pass_on: Mutex<Vec<ServerChanges>>,
-    /// Changes of servers that other routers passed on.
+    /// Server changes to be relayed to other routers.
+    pending_changes: Mutex<Vec<ServerChanges>>,
+    /// Server changes that other routers relayed.
     relayed: mpsc::Sender<ChangesFragment>,
     relayed_queue: Mutex<Option<mpsc::Receiver<ChangesFragment>>>,
-    /// The latest changes of servers, for routers that missed some.
+    /// Recent server changes, for routers that missed some.
     change_log: Mutex<ChangeLog>,
-    /// The same of the configuration.
+    /// Recent configuration changes, for routers that missed some.
     configuration_log: Mutex<ConfigurationLog>,
-    /// Requests that crash servers.
+    /// Evidence against requests that crash servers.
     crash_evidence: Mutex<CrashEvidence>,
-    suspects: Mutex<Suspects>,
+    suspected_servers: Mutex<SuspectedServers>,
     crash_announcements: Mutex<Vec<CrashRecord>>,
-    kept_crashes: Mutex<KeptCrashes>,
+    stored_blocks: Mutex<StoredBlocks>,
     started_ms: u64,
     leaving_since_ms: AtomicU64,
     in_flight: AtomicUsize,
@@ -86,78 +87,78 @@
     body_bytes: AtomicUsize,
 }
 
-/// What this router's own requests tell.
+/// Data observed on this router's own requests.
 pub(crate) struct Traffic {
-    /// Load and health of servers.
+    /// The load and the health of servers.
     pub(crate) health: HashMap<Incarnation, ServerHealth>,
-    /// Where prompt prefixes are cached.
+    /// The servers that are expected to cache prompt prefixes.
     pub(crate) warm: PrefixIndex,
-    /// The share of the retry budget.
+    /// This router's share of the retry budget.
     pub(crate) retries: RetryShare,
-    /// How long each service takes for a request.
+    /// The estimated time per request of each service.
     pub(crate) service_times: HashMap<String, ServiceTime>,
-    /// How fast each service ends requests.
+    /// The rate at which each service completes requests.
     pub(crate) drain: HashMap<String, DrainRate>,
 }
 
-/// Changes that wait to be taken in: those of a few seconds in the busiest release.
-const MAX_RELAYED: usize = 256;
-/// Requests a second that the log tells in full: far above the usual load of a router, and what bounds
-/// the log under any other.
+/// The capacity of the queue of relayed changes: those of a few seconds in the busiest release.
+const MAX_QUEUED_CHANGES: usize = 256;
+/// Requests per second that are logged in full. This is far above a router's usual load and bounds
+/// the log volume under overload.
 const FULL_LOGS_PER_S: u32 = 100;
-/// The part of the bound for keys after which they are not believed any more. The rest covers
-/// a store that drops its history, and may leave a watch without news for a second, and the
-/// way from a check to the server.
-const KEY_PART: f64 = 0.8;
-/// How long a request may take to its server after a look at the list.
-const SEND_MS: u64 = 100;
-/// Routers that keep watches open: one more than may fail in the same second.
+/// The fraction of `key_bound_ms` after which keys are no longer accepted. The rest covers a store
+/// that drops its history, which may leave a watch without an update for 1 s, and the time from the
+/// check to the arrival at the server.
+const KEY_BOUND_FRACTION: f64 = 0.8;
+/// The time that a request may take to reach its server after the check of the server list.
+const SEND_ALLOWANCE_MS: u64 = 100;
+/// The number of routers that keep watches open: one more than may fail within the same second.
 const WATCHERS: usize = 2;
 
-/// The age of the loads in a digest on the average: half of the times between two reports and between
-/// two sums.
+/// The average age of the loads in a received digest: about half of the intervals between reports
+/// and between sums.
 const DIGEST_AGE_MS: u64 = 125;
-/// How long calls to the store must fail until other routers take over its watches.
-const FAILING_MS: u64 = 500;
+/// The time for which a router's calls to the store must fail before others take over its watches.
+const STORE_FAILING_MS: u64 = 500;
 
-/// How far a listing of the store is known.
+/// The state of a watch on a listing of the store.
 #[derive(Default)]
 pub(crate) struct SharedWatch {
     state: Mutex<WatchState>,
-    /// Wakes the watch when another router advertises a change.
+    /// Notified when another router advertises or relays a change.
     pub(crate) changed: Notify,
 }
 
 impl SharedWatch {
-    /// Its state.
+    /// Locks the state.
     pub(crate) fn state(&self) -> MutexGuard<'_, WatchState> {
         lock(&self.state)
     }
 }
 
-/// The configuration in force, and what it may be used for.
+/// The configuration in force, and the decisions for which it is recent enough.
 pub(crate) struct InForce {
     pub(crate) configuration: Arc<Configuration>,
-    /// Whether its keys may be believed now.
+    /// Whether the configuration is recent enough to accept or reject keys.
     pub(crate) has_fresh_keys: bool,
-    /// Whether it may decide about a request that came at a given time.
+    /// Whether it may be applied to the request that it was looked up for.
     pub(crate) is_usable: bool,
 }
 
-/// A request that this router has, until it is dropped.
+/// Counts a request as in flight until this is dropped.
 pub(crate) struct InFlight(Arc<Shared>);
 
-/// Memory for a request's body, until it is dropped.
+/// Memory reserved for a request's body until this is dropped.
 pub(crate) struct BodyMemory {
     shared: Arc<Shared>,
     bytes: usize,
 }
 
 impl Shared {
-    /// The state of a router that knows nothing yet.
+    /// The state of a router that has just started.
     pub(crate) fn new(settings: RouterSettings) -> Self {
         let retries = RetryShare::new(settings.retry.clone());
-        let (relayed, relayed_queue) = mpsc::channel(MAX_RELAYED);
+        let (relayed, relayed_queue) = mpsc::channel(MAX_QUEUED_CHANGES);
         let mut warm = PrefixIndex::default();
         warm.set_settings(settings.warm);
         let recovery = PrefixRecovery::new(settings.is_first_start, Clock.now_ms());
@@ -173,12 +174,12 @@
             pool: ServerPool::default(),
             state_changed: Notify::new(),
             listings_read: Notify::new(),
-            crash_news: Notify::new(),
+            crashes_announced: Notify::new(),
             crash_evidence: Mutex::default(),
-            suspects: Mutex::default(),
+            suspected_servers: Mutex::default(),
             crash_announcements: Mutex::default(),
-            kept_crashes: Mutex::default(),
-            kept_crashes_changed: Notify::new(),
+            stored_blocks: Mutex::default(),
+            stored_blocks_changed: Notify::new(),
             configuration_watch: SharedWatch::default(),
             servers_watch: SharedWatch::default(),
             peers: Mutex::default(),
@@ -191,7 +192,7 @@
                 drain: HashMap::new(),
             }),
             prefix_recovery: Mutex::new(recovery),
-            to_pass_on: Mutex::default(),
+            pending_changes: Mutex::default(),
             relayed,
             relayed_queue: Mutex::new(Some(relayed_queue)),
             change_log: Mutex::default(),
@@ -210,19 +211,20 @@
         self.settings.load()
     }
 
-    /// Puts other settings into force. What names or binds this process stays as it was.
-    pub(crate) fn use_settings(&self, newer: RouterSettings) {
-        let bound = self.settings();
+    /// Puts new settings into force. The name, zone, regions and addresses of the process do not
+    /// change.
+    pub(crate) fn use_settings(&self, new_settings: RouterSettings) {
+        let current = self.settings();
         let settings = RouterSettings {
-            name: bound.name.clone(),
-            zone: bound.zone.clone(),
-            regions: bound.regions.clone(),
-            caller_address: bound.caller_address,
-            ready_address: bound.ready_address,
-            lookup_address: bound.lookup_address,
-            peer_address: bound.peer_address,
-            metrics_address: bound.metrics_address,
-            ..newer
+            name: current.name.clone(),
+            zone: current.zone.clone(),
+            regions: current.regions.clone(),
+            caller_address: current.caller_address,
+            ready_address: current.ready_address,
+            lookup_address: current.lookup_address,
+            peer_address: current.peer_address,
+            metrics_address: current.metrics_address,
+            ..new_settings
         };
         {
             let mut traffic = self.traffic();
@@ -232,23 +234,23 @@
         self.settings.store(Arc::new(settings));
     }
 
-    /// How far this router knows the configuration.
+    /// The watch on the configuration.
     pub(crate) fn configuration_watch(&self) -> &SharedWatch {
         &self.configuration_watch
     }
 
-    /// How far this router knows the backend servers.
+    /// The watch on the backend servers.
     pub(crate) fn servers_watch(&self) -> &SharedWatch {
         &self.servers_watch
     }
 
-    /// Whether this router is one of the few that keep watches open at the store.
+    /// Whether this router is one of the [`WATCHERS`] that keep watches open at the store.
     pub(crate) fn is_watcher(&self) -> bool {
         let now_ms = Clock.now_ms();
         self.rank(now_ms) < WATCHERS
     }
 
-    /// How many live routers come before this one in the order that all of them agree on.
+    /// The number of live routers ahead of this one in the order that all routers compute alike.
     pub(crate) fn rank(&self, now_ms: u64) -> usize {
         let own = RankKey {
             is_store_failing: self.is_store_failing(now_ms),
@@ -257,26 +259,26 @@
         self.peers().rank(&self.settings().name, own, now_ms)
     }
 
-    /// Whether this router's own calls to the store have failed for some time.
+    /// Whether this router's own calls to the store have failed for at least [`STORE_FAILING_MS`].
     pub(crate) fn is_store_failing(&self, now_ms: u64) -> bool {
         let watches = [&self.configuration_watch, &self.servers_watch];
         let mut since = watches
             .map(|watch| watch.state().failing_since_ms())
             .into_iter();
-        since.any(|since| since.is_some_and(|since| now_ms >= since + FAILING_MS))
+        since.any(|since| since.is_some_and(|since| now_ms >= since + STORE_FAILING_MS))
     }
 
-    /// The other routers.
+    /// Locks the table of the other routers.
     pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         lock(&self.peers)
     }
 
-    /// The exchange of loads.
+    /// Locks the load exchange.
     pub(crate) fn load_exchange(&self) -> MutexGuard<'_, LoadExchange> {
         lock(&self.load_exchange)
     }
 
-    /// Places requests by a collector's digest from now on, and offers no router that it misses.
+    /// Uses a collector's digest for placement, and marks the routers that it reports as silent.
     pub(crate) fn use_digest(&self, from: SocketAddr, digest: &LoadDigest) {
         let now_ms = Clock.now_ms();
         self.peers().note_silent(&digest.silent, now_ms);
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Places requests by the other routers' heartbeats, unless a digest came lately.
+    /// Uses the loads in other routers' heartbeats for placement, unless there is a recent digest.
     pub(crate) fn use_heartbeat_loads(&self, now_ms: u64) {
         if self.load_exchange().loads(now_ms).is_none() {
             let peers = self.peers();
@@ -303,39 +305,39 @@
         self.peer_loads.store(Arc::new(updated));
     }
 
-    /// What this router's own requests tell.
+    /// Locks the data observed on this router's own requests.
     pub(crate) fn traffic(&self) -> MutexGuard<'_, Traffic> {
         lock(&self.traffic)
     }
 
-    /// Whether this router knows which servers hold which prompt prefixes.
+    /// Locks the state of the recovery of cached prompt prefixes after a start.
     pub(crate) fn prefix_recovery(&self) -> MutexGuard<'_, PrefixRecovery> {
         lock(&self.prefix_recovery)
     }
 
-    /// Keeps changes for the other routers until the next heartbeat.
+    /// Queues changes to be relayed to other routers with the next heartbeat.
     pub(crate) fn pass_on(&self, changes: ServerChanges) {
-        lock(&self.to_pass_on).push(changes);
+        lock(&self.pending_changes).push(changes);
     }
 
-    /// The changes to pass on now.
+    /// Takes the changes that are queued for other routers.
     pub(crate) fn take_to_pass_on(&self) -> Vec<ServerChanges> {
-        std::mem::take(&mut *lock(&self.to_pass_on))
+        std::mem::take(&mut *lock(&self.pending_changes))
     }
 
-    /// Hands changes that another router passed on to the watch of the servers.
+    /// Passes changes that another router relayed to the watch on the servers.
     pub(crate) fn relay(&self, fragment: ChangesFragment) {
-        // With a full queue the next heartbeat shows that there is a change, and it is read.
+        // If the queue is full, the next heartbeat advertises the change and the watch reads it.
         drop(self.relayed.try_send(fragment));
         self.servers_watch().changed.notify_one();
     }
 
-    /// The queue of changes that other routers pass on; its one reader takes it.
+    /// Takes the receiver of relayed changes; none if it was taken before.
     pub(crate) fn take_relayed(&self) -> Option<mpsc::Receiver<ChangesFragment>> {
         lock(&self.relayed_queue).take()
     }
 
-    /// How far a listing that routers read from each other is known here.
+    /// The version up to which this router knows a listing that routers read from each other.
     pub(crate) fn version_of(&self, listing: Listing) -> Option<u64> {
         let watch = match listing {
             Listing::Configuration => self.configuration_watch(),
@@ -344,48 +346,49 @@
         watch.state().version()
     }
 
-    /// The latest changes of servers that were applied here.
+    /// Locks the log of server changes that were applied here.
     pub(crate) fn change_log(&self) -> MutexGuard<'_, ChangeLog> {
         lock(&self.change_log)
     }
 
-    /// The latest changes of the configuration that were put into force here.
+    /// Locks the log of configuration changes that came into force here.
     pub(crate) fn configuration_log(&self) -> MutexGuard<'_, ConfigurationLog> {
         lock(&self.configuration_log)
     }
 
-    /// What is known of requests that crash servers.
+    /// Locks the evidence against requests that crash servers.
     pub(crate) fn crash_evidence(&self) -> MutexGuard<'_, CrashEvidence> {
         lock(&self.crash_evidence)
     }
 
-    /// Servers that may have crashed.
-    pub(crate) fn suspects(&self) -> MutexGuard<'_, Suspects> {
-        lock(&self.suspects)
+    /// Locks the servers that may have crashed.
+    pub(crate) fn suspected_servers(&self) -> MutexGuard<'_, SuspectedServers> {
+        lock(&self.suspected_servers)
     }
 
-    /// Has records announced to the other routers.
+    /// Queues crash records to be announced to other routers.
     pub(crate) fn announce_crashes(&self, records: &[CrashRecord]) {
         lock(&self.crash_announcements).extend_from_slice(records);
-        self.crash_news.notify_one();
+        self.crashes_announced.notify_one();
     }
 
-    /// What the store keeps of requests that crash servers.
-    pub(crate) fn kept_crashes(&self) -> MutexGuard<'_, KeptCrashes> {
-        lock(&self.kept_crashes)
+    /// Locks the state of the store's records of blocked requests.
+    pub(crate) fn stored_blocks(&self) -> MutexGuard<'_, StoredBlocks> {
+        lock(&self.stored_blocks)
     }
 
-    /// The records to announce now.
+    /// Takes the crash records that are queued for other routers.
     pub(crate) fn take_crash_announcements(&self) -> Vec<CrashRecord> {
         std::mem::take(&mut *lock(&self.crash_announcements))
     }
 
-    /// Whether the log tells a request in full.
-    pub(crate) fn logs_in_full(&self, id: &str) -> bool {
+    /// Whether a request is to be logged in full.
+    pub(crate) fn is_log_sampled(&self, id: &str) -> bool {
         lock(&self.log_sampling).keeps(id, Clock.now_ms())
     }
 
-    /// Logs and counts a call to the store: when it was sent, and the version that it brought.
+    /// Logs and counts a call to the store. The outcome is the version that it returned or an
+    /// error.
     pub(crate) fn note_store_call(
         &self,
         listing: Listing,
@@ -414,7 +417,7 @@
         }
     }
 
-    /// Logs a listing that was read from another router: when it was asked, and what came.
+    /// Logs an attempt to read a listing from another router, with its duration and outcome.
     pub(crate) fn note_fetch(
         &self,
         listing: Listing,
@@ -444,28 +447,28 @@
         }
     }
 
-    /// How old the proof is that the configuration is the newest.
+    /// The age of the proof that the configuration is the newest; none without a proof.
     pub(crate) fn configuration_age_ms(&self) -> Option<u64> {
         self.configuration_watch.state().age_ms(Clock.now_ms())
     }
 
-    /// The store's time up to which the configuration is known to be the newest.
+    /// The time, by the store's clock, up to which the configuration is proven to be the newest.
     pub(crate) fn configuration_proof(&self) -> Option<u64> {
         let state = self.configuration_watch.state();
         state.advert().proven_store_ms
     }
 
-    /// Whether keys may be believed now.
+    /// Whether the configuration is recent enough to accept or reject keys.
     pub(crate) fn keys_are_fresh(&self) -> bool {
-        let limit_ms = (self.settings().key_bound_ms as f64 * KEY_PART) as u64;
+        let limit_ms = (self.settings().key_bound_ms as f64 * KEY_BOUND_FRACTION) as u64;
         self.configuration_age_ms()
             .is_some_and(|age| age < limit_ms)
     }
 
-    /// The configuration in force for a request that came at a time; none before the first.
+    /// The configuration in force for a request that arrived at a time; none before the first one.
     pub(crate) fn in_force(&self, arrived_ms: u64) -> Option<InForce> {
-        // A configuration is in force before its proof is noted: looked at in this order, a proof is
-        // never taken for an older configuration than its own.
+        // A configuration is put into force before its proof is recorded. Reading the proof first
+        // guarantees that it is never applied to an older configuration than its own.
         let has_fresh_keys = self.keys_are_fresh();
         let is_usable = self.configuration_is_usable(arrived_ms);
         Some(InForce {
@@ -475,17 +478,21 @@
         })
     }
 
-    /// Whether the configuration in force may decide about a request that came at a time.
+    /// Whether the configuration in force may be applied to a request that arrived at a time.
     pub(crate) fn configuration_is_usable(&self, arrived_ms: u64) -> bool {
         let bound_ms = self.settings().configuration_bound_ms;
         let state = self.configuration_watch.state();
         state.is_usable(arrived_ms, bound_ms)
     }
 
-    /// Whether requests may be sent to the backend servers that this router knows: none of them is known
-    /// to have left longer ago than the bound, as far as a newer list would tell.
+    /// Whether requests may be sent to the backend servers that this router knows. False if a newer
+    /// list is known to exist and a server on the known one may have left longer ago than
+    /// `drain_bound_ms` allows.
     pub(crate) fn servers_are_usable(&self) -> bool {
-        let bound_ms = self.settings().drain_bound_ms.saturating_sub(SEND_MS);
+        let bound_ms = self
+            .settings()
+            .drain_bound_ms
+            .saturating_sub(SEND_ALLOWANCE_MS);
         let state = self.servers_watch.state();
         state.is_usable(Clock.now_ms(), bound_ms)
     }
@@ -501,8 +508,8 @@
         }
     }
 
-    /// Whether it serves requests that need no key: those wait for no proof that the
-    /// configuration is the newest, as long as no newer one is known.
+    /// Whether this router serves requests that need no key. They require no proof that the
+    /// configuration is the newest, only that no newer one is known for too long.
     pub(crate) fn serves_open_routes(&self) -> bool {
         let known = self.servers_known.load(Ordering::Relaxed);
         known
@@ -511,12 +518,12 @@
             && self.leaving_for_ms().is_none()
     }
 
-    /// How long ago this process started.
+    /// The time since the process started.
     pub(crate) fn uptime_ms(&self) -> u64 {
         Clock.now_ms().saturating_sub(self.started_ms)
     }
 
-    /// Starts the planned stop.
+    /// Begins the planned stop; further calls have no effect.
     pub(crate) fn leave(&self) {
         let now_ms = Clock.now_ms().max(1);
         let first =
@@ -527,7 +534,7 @@
         }
     }
 
-    /// How long ago the planned stop began.
+    /// The time since the planned stop began; none if it has not begun.
     pub(crate) fn leaving_for_ms(&self) -> Option<u64> {
         match self.leaving_since_ms.load(Ordering::Relaxed) {
             0 => None,
@@ -535,7 +542,7 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request as in flight.
     pub(crate) fn begin_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.last_request_ms
@@ -543,18 +550,18 @@
         InFlight(self.clone())
     }
 
-    /// Requests that run.
+    /// The number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// How long ago the last request came or ended.
+    /// The time since the last request arrived or ended.
     pub(crate) fn quiet_ms(&self) -> u64 {
         let last_ms = self.last_request_ms.load(Ordering::Relaxed);
         Clock.now_ms().saturating_sub(last_ms)
     }
 
-    /// Takes memory for a body; none if too much is in use.
+    /// Reserves memory for a body; none if that exceeds `body_memory_bytes`.
     pub(crate) fn reserve_body(self: &Arc<Self>, bytes: usize) -> Option<BodyMemory> {
         let before = self.body_bytes.fetch_add(bytes, Ordering::Relaxed);
         let memory = BodyMemory {
@@ -564,7 +571,7 @@
         (before + bytes <= self.settings().body_memory_bytes).then_some(memory)
     }
 
-    /// The load that this router puts on servers.
+    /// The load that this router causes on the servers.
     pub(crate) fn own_loads(&self) -> Vec<ServerLoad> {
         let traffic = self.traffic();
         let busy = traffic.health.iter();
@@ -595,8 +602,8 @@
     }
 }
 
-/// Locks state that is consistent between any two statements, so that a panic elsewhere does not
-/// spoil it.
+/// Locks a mutex and ignores poisoning: the guarded state is consistent between any two statements,
+/// so that a panic of another holder does not corrupt it.
 fn lock<State>(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
