--- a/crates/sapphiretrack-router/src/admission.rs
+++ b/crates/sapphiretrack-router/src/admission.rs
@@ -92,7 +92,7 @@
             .and_then(|tenant| tenant.priority)
             .unwrap_or(route.priority),
         tenant: tenant.map(|tenant| tenant.name),
-        logs_all: shared.is_log_sampled(&facts.id),
+        is_log_sampled: shared.is_log_sampled(&facts.id),
         shared: shared.clone(),
         interface,
         facts,
--- a/crates/sapphiretrack-router/src/answer.rs
+++ b/crates/sapphiretrack-router/src/answer.rs
@@ -14,25 +14,26 @@
 /// that the body is incomplete.
 #[derive(Debug, Snafu)]
 #[snafu(display("response body truncated: {reason}"))]
-pub(crate) struct CutOff {
+pub(crate) struct TruncatedBody {
     pub(crate) reason: &'static str,
 }
 
 /// The body of a response to a caller.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, CutOff>;
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
 /// The frames of a streamed body.
-pub(crate) type FrameStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, CutOff>> + Send>>;
+pub(crate) type FrameStream =
+    Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, TruncatedBody>> + Send>>;
 
 /// A body whose bytes are all available.
-pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
+pub(crate) fn whole(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// A body that is forwarded as its frames arrive.
-pub(crate) fn streamed(frames: FrameStream) -> AnswerBody {
+pub(crate) fn streamed(frames: FrameStream) -> ResponseBody {
     StreamBody::new(frames).boxed_unsync()
 }
 
@@ -42,7 +43,7 @@
     status: StatusCode,
     reason: &'static str,
     retry_after_ms: Option<u64>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut response = Response::new(whole(Bytes::from_static(reason.as_bytes())));
     *response.status_mut() = status;
     let headers = response.headers_mut();
--- a/crates/sapphiretrack-router/src/attempt.rs
+++ b/crates/sapphiretrack-router/src/attempt.rs
@@ -10,7 +10,7 @@
 use sapphiretrack_routing::Service;
 use tokio::time::timeout;
 
-use crate::crashes::note_break;
+use crate::crashes::note_connection_loss;
 use crate::events::{Event, note};
 use crate::job::Job;
 use crate::placing::{Placement, PlacementError};
@@ -26,7 +26,7 @@
 const CONNECTION_FRACTION: f64 = 0.8;
 
 /// A server's response whose body has not been read yet.
-pub(crate) struct ServerAnswer {
+pub(crate) struct ServerResponse {
     /// The status and the headers.
     pub(crate) head: Parts,
     /// What the response head states about the attempt and the connection.
@@ -55,7 +55,7 @@
     /// The server failed or its response is unusable; the request may have run.
     MayHaveRun(&'static str),
     /// The connection was lost before the response was complete; the request may have run.
-    Broke(&'static str),
+    ConnectionLost(&'static str),
     /// The response was not complete in time; the request may have run.
     TimedOut(&'static str),
 }
@@ -70,7 +70,7 @@
             Self::NotSent(reason)
             | Self::NotRun(reason)
             | Self::MayHaveRun(reason)
-            | Self::Broke(reason)
+            | Self::ConnectionLost(reason)
             | Self::TimedOut(reason) => reason,
         }
     }
@@ -79,20 +79,20 @@
     pub(crate) fn may_have_run(self) -> bool {
         matches!(
             self,
-            Self::MayHaveRun(_) | Self::Broke(_) | Self::TimedOut(_)
+            Self::MayHaveRun(_) | Self::ConnectionLost(_) | Self::TimedOut(_)
         )
     }
 
     /// Counts the failure against the server and logs it.
-    pub(crate) fn tell(self, job: &Job, placed: &Placement) {
+    pub(crate) fn record(self, job: &Job, placed: &Placement) {
         // Running out of this router's share of connections says nothing about the server's health.
         if self != Self::NotSent("connections-used") {
-            placed.note_outcome(true);
+            placed.record_outcome(true);
         }
         let (id, server) = (&job.facts.id, &placed.server.id);
         let (reason, may_have_run) = (self.as_str(), self.may_have_run());
-        if let Self::Broke(_) = self {
-            note_break(job, &placed.server);
+        if let Self::ConnectionLost(_) = self {
+            note_connection_loss(job, &placed.server);
             note!(
                 Event::ATTEMPT_FAILED,
                 id = id,
@@ -123,7 +123,7 @@
     resume_after: Option<u64>,
     attempt_timeout_ms: u64,
     should_abandon: ShouldAbandon,
-) -> Result<ServerAnswer, AttemptFailure>
+) -> Result<ServerResponse, AttemptFailure>
 where
     ShouldAbandon: FnMut(&Placement) -> bool,
 {
@@ -137,7 +137,7 @@
     )
     .await;
     if let Err((placed, failure)) = &result {
-        failure.tell(job, placed);
+        failure.record(job, placed);
     }
     result.map_err(|(_, failure)| failure)
 }
@@ -149,12 +149,12 @@
     resume_after: Option<u64>,
     attempt_timeout_ms: u64,
     mut should_abandon: ShouldAbandon,
-) -> Result<ServerAnswer, (Placement, AttemptFailure)>
+) -> Result<ServerResponse, (Placement, AttemptFailure)>
 where
     ShouldAbandon: FnMut(&Placement) -> bool,
 {
     let shared = &job.shared;
-    let routers = shared.peers().may_exist() + 1;
+    let routers = shared.peers().known_count() + 1;
     let share = f64::from(service.max_connections) * CONNECTION_FRACTION / routers as f64;
     let limit = (share as u32).max(1);
     let connect_ms = shared.settings().times.connect_ms.min(attempt_timeout_ms);
@@ -174,7 +174,7 @@
                 return Err((placed, AttemptFailure::NotSent("connections-used")));
             }
             Err(PoolError::Unreachable { source }) => {
-                placed.note_unreachable();
+                placed.record_unreachable();
                 note!(
                     Event::SERVER_UNREACHABLE,
                     id = job.facts.id,
@@ -189,7 +189,7 @@
             return Err((placed, AttemptFailure::NoTimeLeft));
         }
         let request = attempt_request(job, &placed, resume_after, left_ms);
-        if job.logs_all {
+        if job.is_log_sampled {
             note!(
                 Event::SENT,
                 id = job.facts.id,
@@ -231,7 +231,7 @@
                 }
                 let failure = match was_not_sent {
                     true => AttemptFailure::NotSent("connection-closed"),
-                    false => AttemptFailure::Broke("connection-broke"),
+                    false => AttemptFailure::ConnectionLost("connection-broke"),
                 };
                 return Err((placed, failure));
             }
@@ -246,7 +246,7 @@
     placed: Placement,
     connection: Connection,
     response: http::Response<Incoming>,
-) -> Result<ServerAnswer, (Placement, AttemptFailure)> {
+) -> Result<ServerResponse, (Placement, AttemptFailure)> {
     let (head, body) = response.into_parts();
     let facts = (job.interface.read_answer)(&head);
     if facts.wrong_server || facts.not_run {
@@ -255,7 +255,7 @@
             false => "server-refused",
         };
         if facts.wrong_server {
-            placed.note_unreachable();
+            placed.record_unreachable();
         }
         let read_body = Limited::new(body, MAX_REFUSAL_BODY_BYTES).collect();
         let limit = Duration::from_millis(REFUSAL_BODY_TIMEOUT_MS);
@@ -281,7 +281,7 @@
     if let Some(problem) = problem {
         return Err((placed, AttemptFailure::MayHaveRun(problem)));
     }
-    Ok(ServerAnswer {
+    Ok(ServerResponse {
         head,
         facts,
         body,
--- a/crates/sapphiretrack-router/src/connect.rs
+++ b/crates/sapphiretrack-router/src/connect.rs
@@ -53,9 +53,9 @@
 /// The task that drives a connection's I/O. Dropping it closes the connection at once, so that
 /// the peer sees that the answer is no longer awaited.
 #[derive(Debug)]
-pub struct Driver(JoinHandle<()>);
+pub struct ConnectionDriver(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionDriver {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -66,7 +66,7 @@
 pub async fn connect(
     address: SocketAddr,
     limit_ms: u64,
-) -> Result<(SendRequest<Full<Bytes>>, Driver), ConnectError> {
+) -> Result<(SendRequest<Full<Bytes>>, ConnectionDriver), ConnectError> {
     let limit = Duration::from_millis(limit_ms);
     let stream = timeout(limit, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| ConnectError::TimedOut { address, limit_ms })?;
@@ -81,7 +81,7 @@
         // The pending request returns the same error.
         drop(connection.await);
     });
-    Ok((sender, Driver(driver)))
+    Ok((sender, ConnectionDriver(driver)))
 }
 
 /// Enables keep-alive probes and a limit on unacknowledged bytes, so that a dead connection is
--- a/crates/sapphiretrack-router/src/control.rs
+++ b/crates/sapphiretrack-router/src/control.rs
@@ -68,7 +68,7 @@
         Some(current) => ConfigurationChange::between(current, newest),
         None => ConfigurationChange::between(&Configuration::default(), newest),
     };
-    shared.configuration_log().note(change);
+    shared.configuration_log().record(change);
     shared.configuration.store(Some(newest.clone()));
     update_memory_capacities(shared);
 }
@@ -79,8 +79,8 @@
     watch.relayed = shared.take_relayed();
     let mut list = ServerList::default();
     loop {
-        let is_settling = list.is_settling();
-        let limit_ms = if is_settling {
+        let has_missing_entries = list.has_missing_entries();
+        let limit_ms = if has_missing_entries {
             SETTLING_WATCH_LIMIT_MS
         } else {
             NO_LIMIT_MS
@@ -89,17 +89,17 @@
         let now_ms = Clock.now_ms();
         let outage_ms = update.as_ref().map_or(0, |update| update.outage_ms);
         if outage_ms >= MIN_OUTAGE_MS {
-            list.note_store_back(now_ms);
-            shared.servers_watch().state().note_own_recovery();
+            list.record_store_recovery(now_ms);
+            shared.servers_watch().state().record_own_recovery();
             shared.listings_read.notify_one();
         }
         // A router that made no call during an outage learns of the recovery from routers that did.
         let recovered_ms = shared.servers_watch().state().recovered_ms();
         if let Some(recovered_ms) = recovered_ms {
-            list.note_peer_recovery(recovered_ms);
+            list.record_peer_recovery(recovered_ms);
         }
         let changed = update.is_some_and(|update| apply_update(&mut list, update, now_ms));
-        for id in list.settle(now_ms) {
+        for id in list.drop_missing(now_ms) {
             note!(
                 Event::SERVER_LEAVING,
                 server = id,
@@ -204,7 +204,7 @@
 /// Logs a record that its listing cannot use.
 pub(crate) fn log_unusable(record: &Record) {
     match record {
-        Record::Useless { key, reason } => log_unreadable(key, reason),
+        Record::Unusable { key, reason } => log_unreadable(key, reason),
         Record::Configuration(_) | Record::Server(_) | Record::Router(_) | Record::Crashes(_) => {
             log_unreadable("?", "of another listing");
         }
--- a/crates/sapphiretrack-router/src/crashes.rs
+++ b/crates/sapphiretrack-router/src/crashes.rs
@@ -92,7 +92,7 @@
 
 /// Records that a request's connection was lost while the server ran it. If the server turns out to
 /// have crashed, that is evidence against all requests whose connections were lost with it.
-pub(crate) fn note_break(job: &Job, server: &Arc<ServerEntry>) {
+pub(crate) fn note_connection_loss(job: &Job, server: &Arc<ServerEntry>) {
     let shared = &job.shared;
     let services = shared.servers.load();
     let listed = services.get(&server.service);
@@ -138,7 +138,7 @@
     {
         let mut evidence = shared.crash_evidence();
         for fingerprint in requests {
-            new_records.extend(evidence.note_crash(fingerprint, server.incarnation.0, now_ms));
+            new_records.extend(evidence.record_crash(fingerprint, server.incarnation.0, now_ms));
         }
     }
     note!(
@@ -151,7 +151,7 @@
 }
 
 /// Records that a request got a complete response, which voids the evidence against it.
-pub(crate) fn note_answered(job: &Job) {
+pub(crate) fn record_answered(job: &Job) {
     if let Some(fingerprint) = suspected_fingerprint(job) {
         void_evidence(&job.shared, fingerprint);
     }
@@ -162,7 +162,7 @@
     let max_crashes = shared.settings().attempts.max_crashes;
     let now_ms = Clock.now_ms();
     let evidence = shared.crash_evidence();
-    let blocked = evidence.with_crashes(max_crashes).into_iter();
+    let blocked = evidence.requests_with_crashes(max_crashes).into_iter();
     let lines = blocked.map(|fingerprint| {
         let records = evidence.records_of(fingerprint, now_ms);
         let valid = records.iter().filter(|record| !record.is_void);
@@ -180,7 +180,7 @@
 /// Unblocks a request at all routers; false if no blocked request has this hash.
 pub(crate) fn lift_block(shared: &Shared, hash: u128) -> bool {
     let max_crashes = shared.settings().attempts.max_crashes;
-    let blocked = shared.crash_evidence().with_crashes(max_crashes);
+    let blocked = shared.crash_evidence().requests_with_crashes(max_crashes);
     let mut blocked = blocked.into_iter();
     let Some(fingerprint) = blocked.find(|fingerprint| fingerprint.hash == hash) else {
         return false;
@@ -192,7 +192,7 @@
 /// Voids the evidence against a request at all routers.
 fn void_evidence(shared: &Shared, fingerprint: Fingerprint) {
     let now_ms = Clock.now_ms();
-    let voided = shared.crash_evidence().note_answered(fingerprint, now_ms);
+    let voided = shared.crash_evidence().record_answered(fingerprint, now_ms);
     if !voided.is_empty() {
         note_new_records(shared, &voided, "own");
         shared.announce_crashes(&voided);
@@ -210,7 +210,7 @@
 fn suspected_fingerprint(job: &Job) -> Option<Fingerprint> {
     let may_know = {
         let evidence = job.shared.crash_evidence();
-        !evidence.is_empty() && evidence.may_know(job.outline())
+        !evidence.is_empty() && evidence.may_have_records(job.outline())
     };
     may_know.then(|| job.fingerprint())
 }
@@ -255,7 +255,7 @@
 }
 
 /// Sends new records to other routers, until the process ends.
-pub(crate) async fn send_crash_news(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
+pub(crate) async fn send_crash_records(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     loop {
         shared.crashes_announced.notified().await;
         let update = CrashUpdate::of(&shared, shared.take_crash_announcements());
@@ -310,7 +310,7 @@
         let mut reports: HashMap<SocketAddr, Vec<CrashRecord>> = HashMap::new();
         for record in &self.first_crashes {
             let key = record.fingerprint.hash as u64;
-            for recipient in peers.stewards(key, own, REPORT_RECIPIENTS, now_ms) {
+            for recipient in peers.key_owners(key, own, REPORT_RECIPIENTS, now_ms) {
                 let is_other = recipient != settings.peer_address;
                 let records = is_other.then(|| reports.entry(recipient).or_default());
                 // Caps the message. A crash affects no more requests than one server runs, so that
@@ -327,7 +327,7 @@
 
 /// Merges reports of first crashes, and announces those that turn out to be later ones to all
 /// routers.
-pub(crate) fn take_crash_reports(shared: &Shared, from: SocketAddr, records: &[CrashRecord]) {
+pub(crate) fn merge_crash_reports(shared: &Shared, from: SocketAddr, records: &[CrashRecord]) {
     let new_records = merge_crashes(shared, records, &from.to_string());
     let is_shared = |record: &CrashRecord| shared.crash_evidence().is_shared(record.fingerprint);
     let shared_records: Vec<CrashRecord> = new_records.into_iter().filter(is_shared).collect();
@@ -392,7 +392,7 @@
 
 /// Merges another router's records; returns this router's records as the reply if the digests still
 /// differ and a reply is expected.
-pub(crate) fn take_crashes(
+pub(crate) fn merge_peer_crashes(
     shared: &Shared,
     from: SocketAddr,
     records: &[CrashRecord],
@@ -409,7 +409,7 @@
 
 /// Keeps the store's records of blocked requests up to date with those of this router, until the
 /// process ends.
-pub(crate) async fn keep_crashes(shared: Arc<Shared>, store: Arc<StorePort>) {
+pub(crate) async fn store_blocked_requests(shared: Arc<Shared>, store: Arc<StorePort>) {
     loop {
         shared.stored_blocks_changed.notified().await;
         let mut failures = 0;
--- a/crates/sapphiretrack-router/src/discovery.rs
+++ b/crates/sapphiretrack-router/src/discovery.rs
@@ -118,7 +118,7 @@
         for watch in watches {
             // A router that reads the other listings from peers learns the store's clock here.
             let mut state = watch.state();
-            state.note_clock(sent_ms, received_ms, answer.store_now_ms);
+            state.record_clock(sent_ms, received_ms, answer.store_now_ms);
         }
         let routers = answer
             .records
@@ -139,7 +139,7 @@
         let (own, others): (Vec<_>, Vec<_>) = routers.partition(is_own);
         let mut own = own.iter();
         let is_listed = own.any(|own| own.address == settings.peer_address);
-        self.shared.peers().note_listed(others, received_ms);
+        self.shared.peers().record_listed(others, received_ms);
         is_listed
     }
 
--- a/crates/sapphiretrack-router/src/dispatch.rs
+++ b/crates/sapphiretrack-router/src/dispatch.rs
@@ -9,8 +9,8 @@
 use sapphiretrack_routing::{Configuration, Incarnation, RequestKind};
 
 use crate::admission::{admit, receive_request};
-use crate::answer::{AnswerBody, generated_response};
-use crate::attempt::{AttemptFailure, ServerAnswer, send_attempt};
+use crate::answer::{ResponseBody, generated_response};
+use crate::attempt::{AttemptFailure, ServerResponse, send_attempt};
 use crate::clock::Clock;
 use crate::crashes::crash_count;
 use crate::events::{Event, note};
@@ -36,17 +36,17 @@
 
 impl Attempts {
     /// Counts a failure if the connection was lost.
-    pub(crate) fn note_break(&mut self, failure: AttemptFailure) {
-        self.connection_losses += usize::from(matches!(failure, AttemptFailure::Broke(_)));
+    pub(crate) fn note_connection_loss(&mut self, failure: AttemptFailure) {
+        self.connection_losses += usize::from(matches!(failure, AttemptFailure::ConnectionLost(_)));
     }
 }
 
 /// Handles one request of a caller and returns the response.
-pub(crate) async fn answer_request(
+pub(crate) async fn handle_request(
     shared: Arc<Shared>,
     interface: Interface,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let in_flight = shared.begin_request();
     let (head, body) = request.into_parts();
     let leaving = shared.leaving_for_ms().is_some();
@@ -102,11 +102,11 @@
         &self,
         attempts: &mut Attempts,
         resume_after: Option<u64>,
-    ) -> Result<ServerAnswer, AttemptFailure> {
+    ) -> Result<ServerResponse, AttemptFailure> {
         if attempts.offers == 0 {
             let now_ms = Clock.now_ms();
             let mut traffic = self.shared.traffic();
-            traffic.retries.note_request(&self.service, now_ms);
+            traffic.retries.record_request(&self.service, now_ms);
             let drain = traffic.drain.entry(self.service.clone());
             drain.or_insert_with(|| DrainRate::new(now_ms));
         }
@@ -141,7 +141,7 @@
                 0 => "cold",
                 _ => "warm",
             };
-            self.shared.metrics.placed(cache_state);
+            self.shared.metrics.count_placement(cache_state);
             retry_reserved = false;
             let attempt_timeout_ms = self.attempt_timeout_ms(attempts);
             // A request that is queued at a responsive server keeps its place, since another server
@@ -176,14 +176,14 @@
                 | AttemptFailure::NotSent(_) => {}
                 AttemptFailure::NotRun(_) => attempts.offers += 1,
                 AttemptFailure::MayHaveRun(_)
-                | AttemptFailure::Broke(_)
+                | AttemptFailure::ConnectionLost(_)
                 | AttemptFailure::TimedOut(_) => {
                     attempts.offers += 1;
                     attempts.possible_runs += 1;
                 }
             }
-            attempts.note_break(failure);
-            if !self.may_go_on(attempts, failure) {
+            attempts.note_connection_loss(failure);
+            if !self.may_retry(attempts, failure) {
                 return Err(failure);
             }
         }
@@ -202,7 +202,7 @@
     }
 
     /// Whether another attempt may follow a failed one.
-    pub(crate) fn may_go_on(&self, attempts: &Attempts, failure: AttemptFailure) -> bool {
+    pub(crate) fn may_retry(&self, attempts: &Attempts, failure: AttemptFailure) -> bool {
         let is_allowed = !failure.may_have_run() || self.route.kind.may_run_again();
         is_allowed
             && !self.is_service_full()
@@ -216,7 +216,7 @@
     fn note_placement_failure(&self, error: PlacementError) -> AttemptFailure {
         if error == PlacementError::AllFull {
             let mut traffic = self.shared.traffic();
-            let is_new = traffic.retries.note_full(&self.service, Clock.now_ms());
+            let is_new = traffic.retries.record_full(&self.service, Clock.now_ms());
             drop(traffic);
             if is_new {
                 note!(Event::SERVICE_FULL, service = self.service);
@@ -233,21 +233,21 @@
 
     /// Charges one retry to this router's share of the retry budget; false if it is used up.
     fn try_reserve_retry(&self) -> bool {
-        let routers = self.shared.peers().may_exist() + 1;
+        let routers = self.shared.peers().known_count() + 1;
         let mut traffic = self.shared.traffic();
         let is_allowed = traffic
             .retries
-            .try_repeat(&self.service, routers, Clock.now_ms());
+            .try_retry(&self.service, routers, Clock.now_ms());
         drop(traffic);
         if is_allowed {
-            self.shared.metrics.repeated("attempt-failed");
+            self.shared.metrics.count_repeat("attempt-failed");
         }
         is_allowed
     }
 }
 
 /// Runs a request's attempts and builds the response from their result.
-async fn run_attempts(job: Arc<Job>) -> Response<AnswerBody> {
+async fn run_attempts(job: Arc<Job>) -> Response<ResponseBody> {
     let mut attempts = Attempts::default();
     let mut server_error = None;
     loop {
@@ -269,8 +269,8 @@
             }
             Err(failure) => failure,
         };
-        attempts.note_break(failure);
-        if !job.may_go_on(&attempts, failure) {
+        attempts.note_connection_loss(failure);
+        if !job.may_retry(&attempts, failure) {
             return final_response(&job, &attempts, failure, server_error);
         }
     }
@@ -281,12 +281,12 @@
     job: &Job,
     attempts: &Attempts,
     failure: AttemptFailure,
-    server_error: Option<Response<AnswerBody>>,
-) -> Response<AnswerBody> {
+    server_error: Option<Response<ResponseBody>>,
+) -> Response<ResponseBody> {
     let Some(response) = server_error else {
         return failure_response(job, attempts, failure);
     };
-    relay::note_answered(job, response.status(), attempts.offers);
+    relay::record_answered(job, response.status(), attempts.offers);
     response
 }
 
@@ -295,8 +295,8 @@
     job: &Job,
     attempts: &Attempts,
     failure: AttemptFailure,
-) -> Response<AnswerBody> {
-    job.end();
+) -> Response<ResponseBody> {
+    job.mark_ended();
     let reason = failure.as_str();
     let leaving = job.shared.leaving_for_ms().is_some();
     if attempts.possible_runs > 0 {
@@ -304,7 +304,7 @@
             AttemptFailure::TimedOut(_) => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
-        job.shared.metrics.failed(reason);
+        job.shared.metrics.count_failure(reason);
         note!(
             Event::FAILED,
             id = job.facts.id,
--- a/crates/sapphiretrack-router/src/events.rs
+++ b/crates/sapphiretrack-router/src/events.rs
@@ -71,14 +71,14 @@
     /// No connection to a backend server could be opened.
     SERVER_UNREACHABLE = 622, Warn, "backend server unreachable";
     /// A backend server did not list the prompt prefixes that it holds.
-    PREFIXES_NOT_LISTED = 623, Warn, "prompt prefixes not listed";
+    PREFIX_LIST_FAILED = 623, Warn, "prompt prefixes not listed";
     /// The backend servers listed the prompt prefixes that they hold.
     PREFIXES_LISTED = 624, Info, "prompt prefixes listed";
     /// A service has no free capacity for a request: failed attempts are not repeated there for a
     /// while.
     SERVICE_FULL = 625, Warn, "service at capacity";
     /// A listing could not be read from another router.
-    LISTING_NOT_FETCHED = 626, Info, "listing not read from another router";
+    LISTING_FETCH_FAILED = 626, Info, "listing not read from another router";
     /// Another router was discovered, came back or changed its state.
     PEER_CHANGED = 630, Info, "router discovered or changed";
     /// Another router's heartbeats stopped.
@@ -96,7 +96,7 @@
     /// A request ended without a good answer, and may have run.
     FAILED = 644, Warn, "request failed";
     /// The caller disconnected before its answer was complete.
-    CALLER_LEFT = 645, Info, "caller disconnected";
+    CALLER_DISCONNECTED = 645, Info, "caller disconnected";
     /// A backend server terminated unexpectedly while it ran requests.
     SERVER_CRASHED = 650, Warn, "backend server crashed";
     /// A request ran on two servers that crashed.
--- a/crates/sapphiretrack-router/src/front.rs
+++ b/crates/sapphiretrack-router/src/front.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::connect::enable_dead_peer_detection;
-use crate::dispatch::answer_request;
+use crate::dispatch::handle_request;
 use crate::events::{Event, note};
 use crate::ports::Interface;
 use crate::shared::Shared;
@@ -39,7 +39,7 @@
         let limits = limits.unwrap_or_default();
         let shared = shared.clone();
         let answer = service_fn(move |request| {
-            let answer = answer_request(shared.clone(), interface, request);
+            let answer = handle_request(shared.clone(), interface, request);
             async move { Ok::<_, Infallible>(answer.await) }
         });
         // The head timeout also runs on an idle connection, so it serves as the idle timeout.
--- a/crates/sapphiretrack-router/src/http_call.rs
+++ b/crates/sapphiretrack-router/src/http_call.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Mutex;
 use tokio::time::timeout;
 
-use crate::connect::{ConnectError, Driver, connect};
+use crate::connect::{ConnectError, ConnectionDriver, connect};
 
 /// The largest answer body that is read: a page of rows has at most 1 MB, base64 included.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
@@ -23,7 +23,7 @@
 pub struct HttpCaller {
     address: SocketAddr,
     connect_ms: u64,
-    connection: Mutex<Option<(SendRequest<Full<Bytes>>, Driver)>>,
+    connection: Mutex<Option<(SendRequest<Full<Bytes>>, ConnectionDriver)>>,
 }
 
 /// A failed call. The server may have executed it, unless no connection could be opened.
@@ -63,9 +63,9 @@
     pub head_ms: u64,
     /// From the head, or from a piece of the body, to the next piece: a long answer is not cut off
     /// while it keeps arriving.
-    pub pause_ms: u64,
+    pub idle_ms: u64,
     /// From the start of the call to the end of the answer, however steadily it arrives.
-    pub whole_ms: u64,
+    pub total_ms: u64,
 }
 
 impl HttpCaller {
@@ -86,8 +86,8 @@
     ) -> Result<(StatusCode, Bytes), CallError> {
         let limits = CallLimits {
             head_ms: limit_ms,
-            pause_ms: limit_ms,
-            whole_ms: limit_ms,
+            idle_ms: limit_ms,
+            total_ms: limit_ms,
         };
         self.call_within(request, limits).await
     }
@@ -113,18 +113,18 @@
             let sent = with_limit(limits.head_ms, sender.send_request(request));
             let answer = sent.await?.context(BrokenSnafu)?;
             let (head, body) = answer.into_parts();
-            Ok((head.status, read_body(body, limits.pause_ms).await?))
+            Ok((head.status, read_body(body, limits.idle_ms).await?))
         };
-        let answer = with_limit(limits.whole_ms, exchange).await??;
+        let answer = with_limit(limits.total_ms, exchange).await??;
         *connection = Some((sender, driver));
         Ok(answer)
     }
 }
 
-async fn read_body(body: Incoming, pause_ms: u64) -> Result<Bytes, CallError> {
+async fn read_body(body: Incoming, idle_ms: u64) -> Result<Bytes, CallError> {
     let mut body = pin!(Limited::new(body, MAX_ANSWER_BYTES));
     let mut pieces = BytesMut::new();
-    while let Some(frame) = with_limit(pause_ms, body.frame()).await? {
+    while let Some(frame) = with_limit(idle_ms, body.frame()).await? {
         let frame = frame.map_err(|error| {
             let reason = error.to_string();
             CallError::Unreadable { reason }
--- a/crates/sapphiretrack-router/src/job.rs
+++ b/crates/sapphiretrack-router/src/job.rs
@@ -42,7 +42,7 @@
     /// The labels of its metrics.
     pub(crate) labels: RequestLabels,
     /// Whether its normal events are logged; failures always are.
-    pub(crate) logs_all: bool,
+    pub(crate) is_log_sampled: bool,
     /// When it arrived, by the local clock.
     pub(crate) arrived_ms: u64,
     /// When the caller's deadline or the route's timeout passes, by the local clock.
@@ -57,7 +57,7 @@
 
 impl Job {
     /// Records that the request's outcome is known, so that it does not count as abandoned.
-    pub(crate) fn end(&self) {
+    pub(crate) fn mark_ended(&self) {
         self.has_ended.store(true, Ordering::Relaxed);
     }
 
@@ -99,9 +99,9 @@
     fn drop(&mut self) {
         // A request without an outcome is dropped only because its caller disconnected.
         if !self.has_ended.load(Ordering::Relaxed) {
-            self.shared.metrics.failed("caller-left");
+            self.shared.metrics.count_failure("caller-left");
             note!(
-                Event::CALLER_LEFT,
+                Event::CALLER_DISCONNECTED,
                 id = self.facts.id,
                 age_ms = self.age_ms()
             );
--- a/crates/sapphiretrack-router/src/loads.rs
+++ b/crates/sapphiretrack-router/src/loads.rs
@@ -42,19 +42,19 @@
     }
 
     /// Records a router's load report.
-    pub(crate) fn note_report(&mut self, report: LoadReport) {
-        self.collector.note_report(report, Clock.now_ms());
+    pub(crate) fn record_report(&mut self, report: LoadReport) {
+        self.collector.record_report(report, Clock.now_ms());
     }
 
     /// Records the sums of another collector.
-    pub(crate) fn note_zone(&mut self, zone: ZoneLoads) {
-        self.collector.note_zone(zone, Clock.now_ms());
+    pub(crate) fn record_zone(&mut self, zone: ZoneLoads) {
+        self.collector.record_zone(zone, Clock.now_ms());
     }
 
     /// Records a digest from a collector.
-    pub(crate) fn note_digest(&mut self, from: SocketAddr, digest: &LoadDigest) {
+    pub(crate) fn record_digest(&mut self, from: SocketAddr, digest: &LoadDigest) {
         let now_ms = Clock.now_ms();
-        self.reporter.note_digest(from, &digest.loads, now_ms);
+        self.reporter.record_digest(from, &digest.loads, now_ms);
     }
 }
 
@@ -85,7 +85,7 @@
         let loads: Vec<LoadEntry> = shared.own_loads().iter().map(LoadEntry::from).collect();
         let collectors = {
             let mut exchange = shared.load_exchange();
-            exchange.reporter.note_report(&loads);
+            exchange.reporter.record_report(&loads);
             exchange.reporter.collectors(&ranked, now_ms)
         };
         sequence += 1;
@@ -98,7 +98,7 @@
                 loads: loads.clone(),
             };
             if collector == own_address {
-                shared.load_exchange().note_report(report);
+                shared.load_exchange().record_report(report);
                 continue;
             }
             let message = encode(&RouterMessage::LoadReport(report));
--- a/crates/sapphiretrack-router/src/metrics.rs
+++ b/crates/sapphiretrack-router/src/metrics.rs
@@ -150,29 +150,29 @@
     }
 
     /// Counts a refusal.
-    pub(crate) fn refused(&self, reason: &'static str) {
+    pub(crate) fn count_refusal(&self, reason: &'static str) {
         self.refusals.get_or_create(&ReasonLabels { reason }).inc();
     }
 
     /// Counts a request that failed and may have run.
-    pub(crate) fn failed(&self, reason: &'static str) {
+    pub(crate) fn count_failure(&self, reason: &'static str) {
         self.failures.get_or_create(&ReasonLabels { reason }).inc();
     }
 
     /// Counts an attempt beyond a request's first.
-    pub(crate) fn repeated(&self, reason: &'static str) {
+    pub(crate) fn count_repeat(&self, reason: &'static str) {
         self.repeats.get_or_create(&ReasonLabels { reason }).inc();
     }
 
     /// Counts a call to the store.
-    pub(crate) fn store_call(&self, listing: &'static str, reason: &'static str) {
+    pub(crate) fn count_store_call(&self, listing: &'static str, reason: &'static str) {
         let labels = StoreCallLabels { listing, reason };
         self.store_calls.get_or_create(&labels).inc();
     }
 
     /// Counts a placement, by whether the server is expected to have the prompt cached (`warm` or
     /// `cold`).
-    pub(crate) fn placed(&self, reason: &'static str) {
+    pub(crate) fn count_placement(&self, reason: &'static str) {
         self.placements
             .get_or_create(&ReasonLabels { reason })
             .inc();
--- a/crates/sapphiretrack-router/src/peer_listings.rs
+++ b/crates/sapphiretrack-router/src/peer_listings.rs
@@ -47,18 +47,18 @@
             Ok(fetched) => fetched.snapshot,
             Err(FetchError::Busy { served }) => {
                 self.add_named(served);
-                self.source.note_peer_busy(draw, now_ms);
+                self.source.record_peer_busy(draw, now_ms);
                 return None;
             }
             Err(_) => {
                 self.named_routers
                     .retain(|address| *address != holder.address);
-                self.source.note_peer_failure(draw, now_ms);
+                self.source.record_peer_failure(draw, now_ms);
                 return None;
             }
         };
         let Some((records, is_whole)) = self.apply(snapshot, now_ms) else {
-            self.source.note_peer_failure(draw, now_ms);
+            self.source.record_peer_failure(draw, now_ms);
             return None;
         };
         self.source.reset();
@@ -77,7 +77,7 @@
             let is_newer = self
                 .shared_watch()
                 .state()
-                .note_snapshot(version, &advert, now_ms);
+                .record_snapshot(version, &advert, now_ms);
             if !is_newer {
                 return None;
             }
@@ -85,12 +85,12 @@
             return Some((records, true));
         };
         let mut state = self.shared_watch().state();
-        if !state.note_changes(changes.after, changes.version, now_ms) {
+        if !state.record_changes(changes.after, changes.version, now_ms) {
             return None;
         }
-        state.note_advert(&snapshot.advert, now_ms);
+        state.record_advert(&snapshot.advert, now_ms);
         drop(state);
-        self.shared.change_log().note(changes.clone());
+        self.shared.change_log().record(changes.clone());
         Some((snapshot.into_records(None)?, false))
     }
 
@@ -126,9 +126,9 @@
                 continue;
             };
             let mut state = self.shared_watch().state();
-            if state.note_changes(batch.after, batch.version, now_ms) {
+            if state.record_changes(batch.after, batch.version, now_ms) {
                 missing.extend(batch.changes.iter().cloned());
-                self.shared.change_log().note(batch);
+                self.shared.change_log().record(batch);
             }
         }
         self.relayed = Some(queue);
--- a/crates/sapphiretrack-router/src/peer_messages.rs
+++ b/crates/sapphiretrack-router/src/peer_messages.rs
@@ -8,13 +8,13 @@
 
 use sapphiretrack_routing::{
     BroadcastPlan, ChangesFragment, Heartbeat, HeartbeatPace, ListingAdvert, PrefixIndex,
-    PrefixServing, RouterMessage, SentPrompts, ServerChange,
+    PrefixReplyLimiter, RouterMessage, SentPrompts, ServerChange,
 };
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
 use crate::clock::Clock;
-use crate::crashes::{take_crash_reports, take_crashes};
+use crate::crashes::{merge_crash_reports, merge_peer_crashes};
 use crate::events::{Event, note};
 use crate::shared::Shared;
 
@@ -74,11 +74,11 @@
             false => 1,
         };
         let plan = broadcast_plan(&shared, turn, copies);
-        let routers = shared.peers().may_exist().max(plan.len());
+        let routers = shared.peers().known_count().max(plan.len());
         let pace = HeartbeatPace {
             heartbeat_ms: settings.times.heartbeat_ms,
             min_heartbeat_ms: settings.times.min_heartbeat_ms,
-            at_once: HEARTBEATS_AT_ONCE,
+            fan_out: HEARTBEATS_AT_ONCE,
         };
         let rounds = pace.rounds(routers);
         let interval_ms = rounds as u64 * pace.pause_ms(routers);
@@ -136,7 +136,7 @@
         let plan = broadcast_plan(&shared, turn, URGENT_COPIES);
         let configuration = shared.configuration_watch().state().advert();
         let servers = shared.servers_watch().state().advert();
-        for changes in shared.take_to_pass_on() {
+        for changes in shared.take_pending_changes() {
             let advert = servers;
             // A router that misses a fragment reads the changes from another router.
             for fragment in ChangesFragment::split(changes, MAX_CHANGES_BYTES, encoded_bytes) {
@@ -221,7 +221,7 @@
 pub(crate) async fn receive_messages(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_RECEIVED_BYTES];
     let mut loads_used_ms = 0;
-    let mut serving = PrefixServing::default();
+    let mut serving = PrefixReplyLimiter::default();
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             // The error of an earlier datagram to a closed port; the next call receives again.
@@ -250,11 +250,11 @@
         let heartbeat: Heartbeat = match message {
             RouterMessage::Relay(_) => continue,
             RouterMessage::LoadReport(report) => {
-                shared.load_exchange().note_report(report);
+                shared.load_exchange().record_report(report);
                 continue;
             }
             RouterMessage::ZoneLoads(zone) => {
-                shared.load_exchange().note_zone(zone);
+                shared.load_exchange().record_zone(zone);
                 continue;
             }
             RouterMessage::LoadDigest(digest) => {
@@ -263,7 +263,7 @@
             }
             RouterMessage::Heartbeat(heartbeat) => *heartbeat,
             RouterMessage::AskPrefixes { reply_to } => {
-                if serving.may_serve(Clock.now_ms()) {
+                if serving.try_serve(Clock.now_ms()) {
                     send_prefixes(&shared, &socket, reply_to).await;
                 }
                 continue;
@@ -272,10 +272,10 @@
                 // The time of a recovery decides how removed entries are treated.
                 let mut state = shared.servers_watch().state();
                 if let Some(recovered_ms) = advert.recovered_store_ms {
-                    state.note_recovery(recovered_ms);
+                    state.record_recovery(recovered_ms);
                 }
                 drop(state);
-                shared.relay(fragment);
+                shared.deliver_changes(fragment);
                 continue;
             }
             RouterMessage::Listings {
@@ -284,7 +284,9 @@
                 servers,
             } => {
                 record_adverts(&shared, &configuration, &servers);
-                shared.peers().note_listings(&name, configuration, servers);
+                shared
+                    .peers()
+                    .record_listings(&name, configuration, servers);
                 continue;
             }
             RouterMessage::Crashes {
@@ -292,22 +294,22 @@
                 digest,
                 is_final,
             } => {
-                let answer = take_crashes(&shared, from, &records, digest, is_final);
+                let answer = merge_peer_crashes(&shared, from, &records, digest, is_final);
                 if let Some(answer) = answer {
                     drop(socket.send_to(&encode(&answer), from).await);
                 }
                 continue;
             }
             RouterMessage::CrashReports(records) => {
-                take_crash_reports(&shared, from, &records);
+                merge_crash_reports(&shared, from, &records);
                 continue;
             }
             RouterMessage::Prefixes(prefixes) => {
                 shared
                     .traffic()
                     .warm
-                    .note_holdings(&prefixes, Clock.now_ms());
-                shared.prefix_recovery().note_advertised();
+                    .record_holdings(&prefixes, Clock.now_ms());
+                shared.prefix_recovery().record_advertised();
                 continue;
             }
         };
@@ -321,12 +323,12 @@
         shared
             .traffic()
             .warm
-            .note_advertised(&heartbeat.sent, now_ms);
+            .record_advertised(&heartbeat.sent, now_ms);
         record_adverts(&shared, &heartbeat.configuration, &heartbeat.servers);
         let name = heartbeat.name.clone();
         let state = heartbeat.state;
         let mut peers = shared.peers();
-        if peers.note(heartbeat, now_ms) {
+        if peers.record(heartbeat, now_ms) {
             note!(
                 Event::PEER_CHANGED,
                 router = name,
@@ -335,7 +337,7 @@
         }
         if now_ms >= loads_used_ms + shared.settings().times.heartbeat_ms / 4 {
             loads_used_ms = now_ms;
-            for name in peers.forget_lost(now_ms) {
+            for name in peers.remove_expired(now_ms) {
                 note!(Event::PEER_LOST, router = name);
             }
             drop(peers);
@@ -353,7 +355,7 @@
         (shared.servers_watch(), servers),
     ];
     for (watch, advert) in watches {
-        if watch.state().note_advert(advert, now_ms) {
+        if watch.state().record_advert(advert, now_ms) {
             watch.changed.notify_one();
         }
     }
--- a/crates/sapphiretrack-router/src/placing.rs
+++ b/crates/sapphiretrack-router/src/placing.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use sapphiretrack_routing::{
     Candidate, Incarnation, PeerLoads, RequestFacts, ServerEntry, Service, ServiceTime,
-    choose_server, compared, draw_server, fetch_source, home_count, preferred_server,
+    choose_server, fetch_source, home_count, home_server, sample_candidates, sample_server,
 };
 
 use crate::clock::Clock;
@@ -55,27 +55,27 @@
 
 impl Placement {
     /// Records that response bytes arrived, which means that the server has read the prompt.
-    pub(crate) fn note_progress(&mut self) {
+    pub(crate) fn record_progress(&mut self) {
         let mut traffic = self.shared.traffic();
         let health = traffic.health.entry(self.server.incarnation).or_default();
-        health.note_progress(Clock.now_ms());
+        health.record_progress(Clock.now_ms());
         health.prefill_tokens = health.prefill_tokens.saturating_sub(self.prefill_tokens);
         self.prefill_tokens = 0;
     }
 
     /// Records how the attempt ended: health, retry statistics, service time and completion rate.
-    pub(crate) fn note_outcome(&self, failed: bool) {
+    pub(crate) fn record_outcome(&self, failed: bool) {
         let now_ms = Clock.now_ms();
         let mut traffic = self.shared.traffic();
         let health = traffic.health.entry(self.server.incarnation).or_default();
-        health.note_outcome(&self.shared.settings().health, failed, now_ms);
+        health.record_outcome(&self.shared.settings().health, failed, now_ms);
         traffic
             .retries
-            .note_end(&self.server.service, !failed, now_ms);
+            .record_end(&self.server.service, !failed, now_ms);
         if !failed {
             let took_ms = now_ms.saturating_sub(self.sent_ms);
             let service_time = traffic.service_times.entry(self.server.service.clone());
-            service_time.or_default().note(took_ms);
+            service_time.or_default().record(took_ms);
             let drain = traffic.drain.get_mut(&self.server.service);
             if let Some(drain) = drain {
                 drain.note_end(now_ms);
@@ -92,10 +92,10 @@
     }
 
     /// Records that the server could not be reached.
-    pub(crate) fn note_unreachable(&self) {
+    pub(crate) fn record_unreachable(&self) {
         let mut traffic = self.shared.traffic();
         let health = traffic.health.entry(self.server.incarnation).or_default();
-        health.note_unreachable(&self.shared.settings().health, Clock.now_ms());
+        health.record_unreachable(&self.shared.settings().health, Clock.now_ms());
     }
 }
 
@@ -105,7 +105,7 @@
         let Some(health) = traffic.health.get_mut(&self.server.incarnation) else {
             return;
         };
-        health.note_left();
+        health.record_finished();
         health.tokens = health.tokens.saturating_sub(self.tokens);
         health.prefill_tokens = health.prefill_tokens.saturating_sub(self.prefill_tokens);
     }
@@ -143,13 +143,13 @@
     };
     let candidates = context.candidates(listed);
     let index = match context.has_outdated_loads() {
-        true => draw_server(&candidates, || rand::rng().random()),
+        true => sample_server(&candidates, || rand::rng().random()),
         false => choose_server(
             &settings.costs,
             request.service.is_engine,
             request.facts.prompt_tokens,
             &candidates,
-            &compared(&candidates, || rand::rng().random()),
+            &sample_candidates(&candidates, || rand::rng().random()),
         ),
     };
     let index = index.ok_or_else(|| match candidates.iter().all(|one| one.tried) {
@@ -195,10 +195,10 @@
         prefill_tokens: u64::from(facts.prompt_tokens.saturating_sub(reusable_tokens)),
     };
     let health = traffic.health.entry(server).or_default();
-    health.note_sent(now_ms);
+    health.record_sent(now_ms);
     health.tokens += added_load.tokens;
     health.prefill_tokens += added_load.prefill_tokens;
-    traffic.warm.note_sent(server, facts, now_ms);
+    traffic.warm.record_sent(server, facts, now_ms);
     added_load
 }
 
@@ -247,7 +247,7 @@
         let in_flight = candidates.iter().map(|candidate| candidate.in_flight).sum();
         let homes = home_count(&self.settings.costs, share, in_flight, candidates.len());
         let servers = candidates.iter().map(|candidate| candidate.server);
-        let home = preferred_server(prefix, servers, homes, rand::rng().random());
+        let home = home_server(prefix, servers, homes, rand::rng().random());
         for candidate in candidates {
             candidate.is_home = Some(candidate.server) == home;
             candidate.is_hot = homes > 1;
--- a/crates/sapphiretrack-router/src/ports.rs
+++ b/crates/sapphiretrack-router/src/ports.rs
@@ -121,7 +121,7 @@
     Crashes(Vec<CrashRecord>),
     /// A record of the configuration or of the routers' listing that is gone or cannot be read,
     /// so that it is only logged.
-    Useless {
+    Unusable {
         /// Its key.
         key: String,
         /// What is wrong with it.
--- a/crates/sapphiretrack-router/src/prefixes.rs
+++ b/crates/sapphiretrack-router/src/prefixes.rs
@@ -43,7 +43,7 @@
             }
             PrefixStep::AskServers => {
                 query_engines(&shared, &list_prefixes).await;
-                shared.prefix_recovery().note_advertised();
+                shared.prefix_recovery().record_advertised();
                 // Other routers wait until one advertises that it knows.
                 shared.state_changed.notify_one();
             }
@@ -79,14 +79,10 @@
                 shared
                     .traffic()
                     .warm
-                    .note_holdings(&holdings, Clock.now_ms());
+                    .record_holdings(&holdings, Clock.now_ms());
             }
             Err(error) => {
-                note!(
-                    Event::PREFIXES_NOT_LISTED,
-                    server = engine.id,
-                    error = error
-                );
+                note!(Event::PREFIX_LIST_FAILED, server = engine.id, error = error);
             }
         }
     }
--- a/crates/sapphiretrack-router/src/refusal.rs
+++ b/crates/sapphiretrack-router/src/refusal.rs
@@ -3,7 +3,7 @@
 use http::{Response, StatusCode, header};
 use rand::RngExt;
 
-use crate::answer::{AnswerBody, generated_response};
+use crate::answer::{ResponseBody, generated_response};
 use crate::events::{Event, note};
 use crate::shared::Shared;
 
@@ -50,8 +50,8 @@
     id: &str,
     refusal: Refusal,
     leaving: bool,
-) -> Response<AnswerBody> {
-    shared.metrics.refused(refusal.reason);
+) -> Response<ResponseBody> {
+    shared.metrics.count_refusal(refusal.reason);
     note!(
         Event::REFUSED,
         id = id,
--- a/crates/sapphiretrack-router/src/relay.rs
+++ b/crates/sapphiretrack-router/src/relay.rs
@@ -12,8 +12,8 @@
 use sapphiretrack_routing::{EventSplitter, StreamFault};
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, CutOff, streamed, strip_connection_headers, whole};
-use crate::attempt::{AttemptFailure, ServerAnswer};
+use crate::answer::{ResponseBody, TruncatedBody, streamed, strip_connection_headers, whole};
+use crate::attempt::{AttemptFailure, ServerResponse};
 use crate::clock::Clock;
 use crate::crashes;
 use crate::dispatch::Attempts;
@@ -27,26 +27,26 @@
 /// An answer that was read to its end, or up to the buffer limit if it is long.
 pub(crate) enum ReadAnswer {
     /// The answer for the caller.
-    Final(Response<AnswerBody>),
+    Final(Response<ResponseBody>),
     /// A server error; another server may be tried before this goes to the caller.
-    ServerError(Response<AnswerBody>),
+    ServerError(Response<ResponseBody>),
 }
 
 /// Reads an answer to its end and passes it on as a whole, or streams it if it exceeds the buffer
 /// limit.
 pub(crate) async fn whole_answer(
     job: &Arc<Job>,
-    answer: ServerAnswer,
+    answer: ServerResponse,
     attempts: &Attempts,
 ) -> Result<ReadAnswer, AttemptFailure> {
-    let ServerAnswer {
+    let ServerResponse {
         head,
         facts,
         mut body,
         connection,
         mut placed,
     } = answer;
-    placed.note_progress();
+    placed.record_progress();
     let mut bytes = BytesMut::new();
     loop {
         let frame = timeout(Duration::from_millis(job.left_ms()), body.frame()).await;
@@ -58,7 +58,7 @@
                 if bytes.len() <= MAX_BUFFERED_BYTES {
                     continue;
                 }
-                let rest = ServerAnswer {
+                let rest = ServerResponse {
                     head,
                     facts,
                     body,
@@ -69,25 +69,25 @@
                 return Ok(ReadAnswer::Final(answer));
             }
             Ok(None) => break,
-            Ok(Some(Err(_))) => AttemptFailure::Broke("answer-broke-off"),
+            Ok(Some(Err(_))) => AttemptFailure::ConnectionLost("answer-broke-off"),
             Err(_) => AttemptFailure::TimedOut("answer-not-whole"),
         };
-        failure.tell(job, &placed);
+        failure.record(job, &placed);
         return Err(failure);
     }
     connection.keep(facts.keep_alive_s);
     let failed = head.status.is_server_error();
-    placed.note_outcome(failed);
+    placed.record_outcome(failed);
     let answer = Response::from_parts(caller_head(job, head), whole(bytes.freeze()));
     if failed {
         return Ok(ReadAnswer::ServerError(answer));
     }
-    note_answered(job, answer.status(), attempts.offers);
+    record_answered(job, answer.status(), attempts.offers);
     Ok(ReadAnswer::Final(answer))
 }
 
 /// Streams an answer that is too long to be buffered, from its first bytes on.
-fn long_answer(job: Arc<Job>, answer: ServerAnswer, first: Bytes) -> Response<AnswerBody> {
+fn long_answer(job: Arc<Job>, answer: ServerResponse, first: Bytes) -> Response<ResponseBody> {
     let head = caller_head(&job, answer.head.clone());
     let state = (job, Some(answer), Some(first));
     let pieces = unfold(state, |(job, mut answer, first)| async move {
@@ -99,7 +99,7 @@
         match frame {
             Ok(Some(Ok(frame))) => Some((Ok(frame), (job, answer, None))),
             Ok(None) => {
-                let ServerAnswer {
+                let ServerResponse {
                     head,
                     facts,
                     connection,
@@ -107,16 +107,16 @@
                     ..
                 } = answer.take()?;
                 connection.keep(facts.keep_alive_s);
-                placed.note_outcome(head.status.is_server_error());
-                note_answered(&job, head.status, 1);
+                placed.record_outcome(head.status.is_server_error());
+                record_answered(&job, head.status, 1);
                 None
             }
             Ok(Some(Err(_))) | Err(_) => {
                 let failure = match frame {
                     Err(_) => AttemptFailure::TimedOut("answer-not-whole"),
-                    _ => AttemptFailure::Broke("answer-broke-off"),
+                    _ => AttemptFailure::ConnectionLost("answer-broke-off"),
                 };
-                failure.tell(&job, &answer?.placed);
+                failure.record(&job, &answer?.placed);
                 let cut = cut_off(&job, failure.as_str());
                 Some((Err(cut), (job, None, None)))
             }
@@ -130,8 +130,8 @@
 pub(crate) fn stream_events(
     job: Arc<Job>,
     attempts: Attempts,
-    answer: ServerAnswer,
-) -> Response<AnswerBody> {
+    answer: ServerResponse,
+) -> Response<ResponseBody> {
     let head = caller_head(&job, answer.head.clone());
     let relay = EventRelay {
         splitter: EventSplitter::after(job.facts.resume_after),
@@ -154,7 +154,7 @@
 struct EventRelay {
     job: Arc<Job>,
     attempts: Attempts,
-    answer: Option<ServerAnswer>,
+    answer: Option<ServerResponse>,
     splitter: EventSplitter,
     /// The age of the request at its first event.
     first_ms: Option<u64>,
@@ -167,7 +167,7 @@
 
 impl EventRelay {
     /// Returns all whole events that are available next; none after the last.
-    async fn next_piece(&mut self) -> Option<Result<Frame<Bytes>, CutOff>> {
+    async fn next_piece(&mut self) -> Option<Result<Frame<Bytes>, TruncatedBody>> {
         if self.ended {
             return None;
         }
@@ -215,7 +215,7 @@
         let frame = timeout(left, answer.body.frame()).await;
         match frame {
             Ok(Some(Ok(frame))) => {
-                answer.placed.note_progress();
+                answer.placed.record_progress();
                 self.record_pause();
                 if let Some(data) = frame.data_ref() {
                     self.splitter.push(data);
@@ -223,13 +223,13 @@
                 Ok(true)
             }
             Ok(None) if self.splitter.has_partial() => {
-                Err(AttemptFailure::Broke("event-broke-off"))
+                Err(AttemptFailure::ConnectionLost("event-broke-off"))
             }
             Ok(None) => {
                 self.finish();
                 Ok(false)
             }
-            Ok(Some(Err(_))) => Err(AttemptFailure::Broke("stream-broke-off")),
+            Ok(Some(Err(_))) => Err(AttemptFailure::ConnectionLost("stream-broke-off")),
             Err(_) => Err(AttemptFailure::TimedOut("stream-not-whole")),
         }
     }
@@ -241,7 +241,7 @@
             return;
         };
         answer.connection.keep(answer.facts.keep_alive_s);
-        answer.placed.note_outcome(false);
+        answer.placed.record_outcome(false);
         let times = StreamTimes {
             first_ms: self.first_ms.unwrap_or(0),
             longest_pause_ms: self.longest_pause_ms,
@@ -254,10 +254,10 @@
     async fn resume(&mut self, failure: AttemptFailure) -> bool {
         // Dropping the answer closes its connection: the first server stops before the next starts.
         if let Some(answer) = self.answer.take() {
-            failure.tell(&self.job, &answer.placed);
+            failure.record(&self.job, &answer.placed);
         }
-        self.attempts.note_break(failure);
-        if !self.job.may_go_on(&self.attempts, failure) {
+        self.attempts.note_connection_loss(failure);
+        if !self.job.may_retry(&self.attempts, failure) {
             return false;
         }
         let last_id = self.splitter.last_id();
@@ -308,9 +308,9 @@
 }
 
 /// Ends a request whose answer breaks off, and records the failure.
-fn cut_off(job: &Job, reason: &'static str) -> CutOff {
-    job.end();
-    job.shared.metrics.failed(reason);
+fn cut_off(job: &Job, reason: &'static str) -> TruncatedBody {
+    job.mark_ended();
+    job.shared.metrics.count_failure(reason);
     note!(
         Event::FAILED,
         id = job.facts.id,
@@ -318,16 +318,16 @@
         reason = reason,
         age_ms = job.age_ms(),
     );
-    CutOff { reason }
+    TruncatedBody { reason }
 }
 
 /// Ends a request that got a whole answer, and records it in the metrics. Returns whether it is
 /// logged.
 fn end_whole(job: &Job) -> bool {
-    job.end();
-    crashes::note_answered(job);
+    job.mark_ended();
+    crashes::record_answered(job);
     job.shared.metrics.observe_whole(&job.labels, job.age_ms());
-    job.logs_all
+    job.is_log_sampled
 }
 
 /// The times of a stream as seen by its caller.
@@ -354,7 +354,7 @@
 }
 
 /// Records that the caller gets a server's whole answer.
-pub(crate) fn note_answered(job: &Job, status: StatusCode, offers: u32) {
+pub(crate) fn record_answered(job: &Job, status: StatusCode, offers: u32) {
     if !end_whole(job) {
         return;
     }
--- a/crates/sapphiretrack-router/src/router.rs
+++ b/crates/sapphiretrack-router/src/router.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Clock;
 use crate::control::{watch_configuration, watch_servers};
-use crate::crashes::{compare_crashes, keep_crashes, send_crash_news};
+use crate::crashes::{compare_crashes, send_crash_records, store_blocked_requests};
 use crate::discovery::find_routers;
 use crate::events::{Event, note};
 use crate::front::serve_callers;
@@ -117,9 +117,9 @@
     tokio::spawn(report_loads(shared.clone(), socket.clone()));
     tokio::spawn(collect_loads(shared.clone(), socket.clone()));
     tokio::spawn(send_heartbeats(shared.clone(), socket.clone()));
-    tokio::spawn(send_crash_news(shared.clone(), socket.clone()));
+    tokio::spawn(send_crash_records(shared.clone(), socket.clone()));
     tokio::spawn(compare_crashes(shared.clone(), socket.clone()));
-    tokio::spawn(keep_crashes(shared.clone(), store.clone()));
+    tokio::spawn(store_blocked_requests(shared.clone(), store.clone()));
     tokio::spawn(recover_prefixes(
         shared.clone(),
         socket,
@@ -137,7 +137,7 @@
     let mut stop = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     stop.recv().await;
     note!(Event::STOPPING, in_flight = shared.in_flight());
-    shared.leave();
+    shared.begin_stop();
     // A heartbeat tells the other routers at once; the row only lists this router as a recipient of
     // heartbeats.
     drop(timeout(DEREGISTRATION_LIMIT, (store.register)(false)).await);
@@ -181,7 +181,7 @@
             continue;
         };
         let phase = times.phase(since_ms, shared.in_flight(), shared.quiet_ms());
-        if phase == StopPhase::Over {
+        if phase == StopPhase::Finished {
             note!(
                 Event::STOPPED,
                 in_flight = shared.in_flight(),
--- a/crates/sapphiretrack-router/src/server_pool.rs
+++ b/crates/sapphiretrack-router/src/server_pool.rs
@@ -14,7 +14,7 @@
 use snafu::Snafu;
 
 use crate::clock::Clock;
-use crate::connect::{ConnectError, Driver, connect};
+use crate::connect::{ConnectError, ConnectionDriver, connect};
 
 /// How long an idle connection is kept if the server states no keep-alive limit.
 const DEFAULT_IDLE_MS: u64 = 8_000;
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    driver: Driver,
+    driver: ConnectionDriver,
     until_ms: u64,
 }
 
@@ -55,7 +55,7 @@
 pub(crate) struct Connection {
     /// Whether the connection has carried a request before.
     pub(crate) is_reused: bool,
-    open: Option<(SendRequest<Full<Bytes>>, Driver)>,
+    open: Option<(SendRequest<Full<Bytes>>, ConnectionDriver)>,
     slot: Slot,
 }
 
--- a/crates/sapphiretrack-router/src/shared.rs
+++ b/crates/sapphiretrack-router/src/shared.rs
@@ -59,8 +59,8 @@
     pub(crate) crashes_announced: Notify,
     /// Notified when the store's records of blocked requests are to be updated.
     pub(crate) stored_blocks_changed: Notify,
-    configuration_watch: SharedWatch,
-    servers_watch: SharedWatch,
+    configuration_watch: ListingWatch,
+    servers_watch: ListingWatch,
     peers: Mutex<PeerTable>,
     load_exchange: Mutex<LoadExchange>,
     traffic: Mutex<Traffic>,
@@ -123,13 +123,13 @@
 
 /// The state of a watch on a listing of the store.
 #[derive(Default)]
-pub(crate) struct SharedWatch {
+pub(crate) struct ListingWatch {
     state: Mutex<WatchState>,
     /// Notified when another router advertises or relays a change.
     pub(crate) changed: Notify,
 }
 
-impl SharedWatch {
+impl ListingWatch {
     /// Locks the state.
     pub(crate) fn state(&self) -> MutexGuard<'_, WatchState> {
         lock(&self.state)
@@ -180,8 +180,8 @@
             crash_announcements: Mutex::default(),
             stored_blocks: Mutex::default(),
             stored_blocks_changed: Notify::new(),
-            configuration_watch: SharedWatch::default(),
-            servers_watch: SharedWatch::default(),
+            configuration_watch: ListingWatch::default(),
+            servers_watch: ListingWatch::default(),
             peers: Mutex::default(),
             load_exchange: Mutex::default(),
             traffic: Mutex::new(Traffic {
@@ -235,12 +235,12 @@
     }
 
     /// The watch on the configuration.
-    pub(crate) fn configuration_watch(&self) -> &SharedWatch {
+    pub(crate) fn configuration_watch(&self) -> &ListingWatch {
         &self.configuration_watch
     }
 
     /// The watch on the backend servers.
-    pub(crate) fn servers_watch(&self) -> &SharedWatch {
+    pub(crate) fn servers_watch(&self) -> &ListingWatch {
         &self.servers_watch
     }
 
@@ -281,9 +281,9 @@
     /// Uses a collector's digest for placement, and marks the routers that it reports as silent.
     pub(crate) fn use_digest(&self, from: SocketAddr, digest: &LoadDigest) {
         let now_ms = Clock.now_ms();
-        self.peers().note_silent(&digest.silent, now_ms);
+        self.peers().record_silent(&digest.silent, now_ms);
         let mut exchange = self.load_exchange();
-        exchange.note_digest(from, digest);
+        exchange.record_digest(from, digest);
         if let Some(loads) = exchange.loads(now_ms) {
             self.use_loads(loads.clone(), DIGEST_AGE_MS, now_ms);
         }
@@ -316,17 +316,17 @@
     }
 
     /// Queues changes to be relayed to other routers with the next heartbeat.
-    pub(crate) fn pass_on(&self, changes: ServerChanges) {
+    pub(crate) fn queue_changes(&self, changes: ServerChanges) {
         lock(&self.pending_changes).push(changes);
     }
 
     /// Takes the changes that are queued for other routers.
-    pub(crate) fn take_to_pass_on(&self) -> Vec<ServerChanges> {
+    pub(crate) fn take_pending_changes(&self) -> Vec<ServerChanges> {
         std::mem::take(&mut *lock(&self.pending_changes))
     }
 
     /// Passes changes that another router relayed to the watch on the servers.
-    pub(crate) fn relay(&self, fragment: ChangesFragment) {
+    pub(crate) fn deliver_changes(&self, fragment: ChangesFragment) {
         // If the queue is full, the next heartbeat advertises the change and the watch reads it.
         drop(self.relayed.try_send(fragment));
         self.servers_watch().changed.notify_one();
@@ -396,7 +396,8 @@
         sent_ms: u64,
         outcome: Result<u64, &StoreError>,
     ) {
-        self.metrics.store_call(listing.as_str(), reason.as_str());
+        self.metrics
+            .count_store_call(listing.as_str(), reason.as_str());
         let took_ms = Clock.now_ms().saturating_sub(sent_ms);
         let (listing, reason) = (listing.as_str(), reason.as_str());
         match outcome {
@@ -434,11 +435,11 @@
                 peer = peer,
                 took_ms = took_ms,
                 version = fetched.snapshot.version,
-                records = fetched.snapshot.records(),
+                records = fetched.snapshot.record_count(),
                 bytes = fetched.bytes,
             ),
             Err(error) => note!(
-                Event::LISTING_NOT_FETCHED,
+                Event::LISTING_FETCH_FAILED,
                 listing = listing,
                 peer = peer,
                 took_ms = took_ms,
@@ -524,7 +525,7 @@
     }
 
     /// Begins the planned stop; further calls have no effect.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn begin_stop(&self) {
         let now_ms = Clock.now_ms().max(1);
         let first =
             self.leaving_since_ms
--- a/crates/sapphiretrack-router/src/snapshots.rs
+++ b/crates/sapphiretrack-router/src/snapshots.rs
@@ -35,7 +35,7 @@
 /// How long reading a listing may take: links may be slow, and a listing grows with its records.
 const FETCH_MS: u64 = 3_000;
 /// How long a read may pause without a byte.
-const FETCH_PAUSE_MS: u64 = 300;
+const FETCH_IDLE_MS: u64 = 300;
 /// How long the head of the answer may take: a router that many ask at once may answer none of them
 /// in time, while others have the listing by then.
 const FETCH_HEAD_MS: u64 = 150;
@@ -201,7 +201,7 @@
     }
 
     /// Returns the number of records that it holds.
-    pub(crate) fn records(&self) -> usize {
+    pub(crate) fn record_count(&self) -> usize {
         match &self.content {
             Content::Configuration(changes) => changes.iter().map(|one| one.entries()).sum(),
             Content::Servers(servers) => servers.len(),
@@ -286,8 +286,8 @@
     let caller = HttpCaller::new(peer, CONNECT_MS);
     let limits = CallLimits {
         head_ms: FETCH_HEAD_MS,
-        pause_ms: FETCH_PAUSE_MS,
-        whole_ms: FETCH_MS,
+        idle_ms: FETCH_IDLE_MS,
+        total_ms: FETCH_MS,
     };
     let answer = caller.call_within(request, limits).await;
     let (status, body) = answer.context(CallSnafu)?;
@@ -415,11 +415,13 @@
         let kib = body.len().div_ceil(1_024).clamp(1, MAX_SERVED_KIB);
         let permit = self.capacity_kib.clone().try_acquire_many_owned(kib as u32);
         let permit = permit.map_err(|_| {
-            let named = reader.as_ref().map(|reader| self.readers.name_to(reader));
+            let named = reader
+                .as_ref()
+                .map(|reader| self.readers.suggest_to(reader));
             Refusal::Busy(named.unwrap_or_default())
         })?;
         if let Some(reader) = reader {
-            self.readers.note(reader);
+            self.readers.record(reader);
         }
         Ok((body, permit))
     }
--- a/crates/sapphiretrack-router/src/watch.rs
+++ b/crates/sapphiretrack-router/src/watch.rs
@@ -18,7 +18,7 @@
 use crate::control::apply_configuration;
 use crate::events::{Event, note};
 use crate::ports::{Listing, Record, StoreAnswer, StoreError, StorePort};
-use crate::shared::{Shared, SharedWatch};
+use crate::shared::{ListingWatch, Shared};
 
 /// The interval at which a waiting router checks whether it has become a watcher.
 const ROLE_CHECK_MS: u64 = 250;
@@ -128,7 +128,7 @@
     }
 
     /// Returns the shared state of this listing's watch.
-    pub(crate) fn shared_watch(&self) -> &SharedWatch {
+    pub(crate) fn shared_watch(&self) -> &ListingWatch {
         match self.listing {
             Listing::Configuration => self.shared.configuration_watch(),
             Listing::Servers | Listing::Routers => self.shared.servers_watch(),
@@ -279,7 +279,7 @@
         self.failures = 0;
         self.source.reset();
         self.put_in_force(&answer.records);
-        let outage_ms = self.shared_watch().state().note_answer(&WatchAnswer {
+        let outage_ms = self.shared_watch().state().record_answer(&WatchAnswer {
             // The configuration is a single record that is replaced: its listing cannot hide a
             // removal.
             may_hide_removals: is_whole && self.listing != Listing::Configuration,
@@ -327,7 +327,7 @@
             Record::Configuration(_)
             | Record::Router(_)
             | Record::Crashes(_)
-            | Record::Useless { .. } => None,
+            | Record::Unusable { .. } => None,
         });
         let changes: Vec<ServerChange> = changes.collect();
         if !changes.is_empty() {
@@ -336,14 +336,14 @@
                 version: answer.version,
                 changes,
             };
-            self.shared.change_log().note(batch.clone());
-            self.shared.pass_on(batch);
+            self.shared.change_log().record(batch.clone());
+            self.shared.queue_changes(batch);
         }
     }
 
     /// Records a failed call, and pauses unless the change can be read from other routers.
     async fn back_off(&mut self, error: &StoreError, sent_ms: u64) {
-        if self.shared_watch().state().note_failure(sent_ms) {
+        if self.shared_watch().state().record_failure(sent_ms) {
             note!(
                 Event::STORE_FAILING,
                 listing = self.listing.as_str(),
@@ -353,7 +353,7 @@
         let now_ms = Clock.now_ms();
         let live = self.shared.peers().live(now_ms);
         let draw = rand::rng().random();
-        self.source.note_store_failure(live, draw, now_ms);
+        self.source.record_store_failure(live, draw, now_ms);
         let pause_ms = self.shared.settings().times.store_retry_ms << self.failures.min(2);
         self.failures += 1;
         if self.is_served_by_others(now_ms) {
--- a/crates/sapphiretrack-router/tests/http_call.rs
+++ b/crates/sapphiretrack-router/tests/http_call.rs
@@ -11,8 +11,8 @@
 
 const LIMITS: CallLimits = CallLimits {
     head_ms: 150,
-    pause_ms: 400,
-    whole_ms: 2_000,
+    idle_ms: 400,
+    total_ms: 2_000,
 };
 
 /// Starts a server that sends these pieces, each after a pause in milliseconds, and then nothing
--- a/crates/sapphiretrack-routing/benches/placement.rs
+++ b/crates/sapphiretrack-routing/benches/placement.rs
@@ -5,7 +5,7 @@
 
 use sapphiretrack_routing::{
     Candidate, Distance, Incarnation, PlacementCosts, PrefixIndex, PromptPrefix, RequestFacts,
-    choose_server, compared, fetch_source, home_count, preferred_server,
+    choose_server, fetch_source, home_count, home_server, sample_candidates,
 };
 
 /// Pool sizes: from those of the users' fleets up to the one to design for.
@@ -44,7 +44,7 @@
                 prompt: prefixes(index).into_iter().chain([private]).collect(),
                 ..RequestFacts::default()
             };
-            prefix_index.note_sent(server, &facts, 0);
+            prefix_index.record_sent(server, &facts, 0);
         }
     }
     let decisions = (0..DECISIONS_PER_SIZE).map(|_| {
@@ -72,7 +72,7 @@
         1_000,
         servers as usize,
     );
-    let home = preferred_server(last, (0..servers).map(Incarnation), homes, random.unit());
+    let home = home_server(last, (0..servers).map(Incarnation), homes, random.unit());
     let candidates = (0..servers).map(|index| Candidate {
         server: Incarnation(index),
         distance: Distance::SameRegion,
@@ -89,7 +89,7 @@
         tried: false,
     });
     let candidates: Vec<Candidate> = candidates.collect();
-    let compared_indices = compared(&candidates, || random.unit());
+    let compared_indices = sample_candidates(&candidates, || random.unit());
     let chosen = choose_server(&costs, true, 9_000, &candidates, &compared_indices);
     let source = chosen.and_then(|chosen| fetch_source(&costs, &candidates, chosen));
     (chosen, source)
--- a/crates/sapphiretrack-routing/src/change_log.rs
+++ b/crates/sapphiretrack-routing/src/change_log.rs
@@ -21,7 +21,7 @@
 
     /// Appends changes that were applied locally. If they do not continue the log, the older ones
     /// are dropped.
-    pub fn note(&mut self, batch: ServerChanges) {
+    pub fn record(&mut self, batch: ServerChanges) {
         let is_next = self
             .batches
             .back()
--- a/crates/sapphiretrack-routing/src/configuration_change.rs
+++ b/crates/sapphiretrack-routing/src/configuration_change.rs
@@ -237,7 +237,7 @@
 
     /// Appends a change that was activated locally. If it does not continue the log, the older ones
     /// are dropped.
-    pub fn note(&mut self, change: ConfigurationChange) {
+    pub fn record(&mut self, change: ConfigurationChange) {
         if self
             .version()
             .is_some_and(|version| version != change.before)
--- a/crates/sapphiretrack-routing/src/crash_evidence.rs
+++ b/crates/sapphiretrack-routing/src/crash_evidence.rs
@@ -43,11 +43,11 @@
 
 impl CrashEvidence {
     /// Number of records of a request from which on they are shared with all routers.
-    pub const SHARED_FROM: usize = 2;
+    pub const MIN_SHARED_RECORDS: usize = 2;
     /// Maximum number of records that are compared and sent at once.
     pub const MAX_SENT: usize = 256;
     /// Time in milliseconds after which a record expires.
-    pub const KEPT_MS: u64 = 3_600_000;
+    pub const RETENTION_MS: u64 = 3_600_000;
     /// Maximum number of requests kept.
     pub const MAX_REQUESTS: usize = 1_024;
     /// Maximum number of servers kept per request.
@@ -55,7 +55,7 @@
 
     /// Records that a server ended while it ran a request. Returns the record; `None` if it was
     /// already known or does not fit.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
         server: u64,
@@ -72,7 +72,7 @@
 
     /// Records that a request got a complete answer, which voids all records against it. Returns
     /// the records that this voided.
-    pub fn note_answered(&mut self, fingerprint: Fingerprint, now_ms: u64) -> Vec<CrashRecord> {
+    pub fn record_answered(&mut self, fingerprint: Fingerprint, now_ms: u64) -> Vec<CrashRecord> {
         let mut voided = Vec::new();
         let crashes = self.requests.get_mut(&fingerprint);
         for (server, crash) in crashes.into_iter().flatten() {
@@ -95,7 +95,7 @@
 
     fn merge_record(&mut self, record: &CrashRecord, now_ms: u64) -> bool {
         let age_ms = u64::from(record.age_ms);
-        if age_ms >= Self::KEPT_MS {
+        if age_ms >= Self::RETENTION_MS {
             return false;
         }
         if !self.requests.contains_key(&record.fingerprint) {
@@ -150,7 +150,7 @@
         let mut expired = Vec::new();
         self.requests.retain(|fingerprint, crashes| {
             let before = crashes.len();
-            crashes.retain(|_, crash| now_ms < crash.at_ms.saturating_add(Self::KEPT_MS));
+            crashes.retain(|_, crash| now_ms < crash.at_ms.saturating_add(Self::RETENTION_MS));
             if crashes.len() != before {
                 expired.push(*fingerprint);
             }
@@ -170,7 +170,7 @@
 
     /// Returns whether there may be records of requests with an outline. An outline is cheaper to
     /// compute than a fingerprint.
-    pub fn may_know(&self, outline: Outline) -> bool {
+    pub fn may_have_records(&self, outline: Outline) -> bool {
         self.outlines.contains(&outline)
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Returns the requests that crashed at least `count` servers.
-    pub fn with_crashes(&self, count: usize) -> Vec<Fingerprint> {
+    pub fn requests_with_crashes(&self, count: usize) -> Vec<Fingerprint> {
         let requests = self.requests.iter();
         let mut found: Vec<Fingerprint> = requests
             .filter(|(_, crashes)| count_valid(crashes) >= count)
@@ -202,12 +202,12 @@
     /// Returns whether the records of a request are shared with all routers.
     pub fn is_shared(&self, fingerprint: Fingerprint) -> bool {
         let crashes = self.requests.get(&fingerprint);
-        crashes.is_some_and(|crashes| crashes.len() >= Self::SHARED_FROM)
+        crashes.is_some_and(|crashes| crashes.len() >= Self::MIN_SHARED_RECORDS)
     }
 
     /// Returns the records that are shared with all routers, at most [`Self::MAX_SENT`].
     pub fn shared_records(&self, now_ms: u64) -> Vec<CrashRecord> {
-        self.records(Self::SHARED_FROM, Self::MAX_SENT, now_ms)
+        self.records(Self::MIN_SHARED_RECORDS, Self::MAX_SENT, now_ms)
     }
 
     /// Returns the digest of the shared records, which is equal on routers with the same records; 0
--- a/crates/sapphiretrack-routing/src/freshness.rs
+++ b/crates/sapphiretrack-routing/src/freshness.rs
@@ -20,8 +20,8 @@
     const CLOCK_TOLERANCE_MS: i64 = 50;
     /// Records an answer that contained the newest state: when the call was sent, when the answer
     /// arrived, and the time of the store's clock in it.
-    pub fn note_answer(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) {
-        let offset = self.note_clock(sent_ms, received_ms, store_now_ms);
+    pub fn record_answer(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) {
+        let offset = self.record_clock(sent_ms, received_ms, store_now_ms);
         let proven = (store_now_ms as i64 + offset).clamp(sent_ms as i64, received_ms as i64);
         let proven = proven.max(0) as u64;
         self.proven_ms = Some(self.proven_ms.map_or(proven, |before| before.max(proven)));
@@ -29,7 +29,7 @@
 
     /// Updates the mapping of the store's clock with an answer, which may be about another listing.
     /// Returns the offset in milliseconds.
-    pub fn note_clock(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) -> i64 {
+    pub fn record_clock(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) -> i64 {
         let bound = sent_ms as i64 - store_now_ms as i64;
         let latest = received_ms as i64 - store_now_ms as i64;
         let offset = match self.offset_ms {
@@ -54,7 +54,7 @@
 
     /// Records that another router had an answer from this time of the store's clock which showed
     /// nothing newer than what this router has.
-    pub fn note_proof(&mut self, store_ms: u64, now_ms: u64) {
+    pub fn record_proof(&mut self, store_ms: u64, now_ms: u64) {
         // Without an answer of its own a router cannot map the store's clock.
         let Some(offset) = self.offset_ms else {
             return;
--- a/crates/sapphiretrack-routing/src/heartbeat_pace.rs
+++ b/crates/sapphiretrack-routing/src/heartbeat_pace.rs
@@ -9,7 +9,7 @@
     pub min_heartbeat_ms: u64,
     /// Maximum number of recipients of one heartbeat. In a larger fleet heartbeats go to the
     /// routers in turn.
-    pub at_once: usize,
+    pub fan_out: usize,
 }
 
 impl HeartbeatPace {
@@ -17,13 +17,13 @@
     /// routers below the fan-out: no more datagrams are sent per second than in a large fleet, and
     /// the loads that requests are placed by are more recent.
     pub fn pause_ms(&self, routers: usize) -> u64 {
-        let share = routers.min(self.at_once) as f64 / self.at_once.max(1) as f64;
+        let share = routers.min(self.fan_out) as f64 / self.fan_out.max(1) as f64;
         let pause_ms = (self.heartbeat_ms as f64 * share).ceil() as u64;
         pause_ms.max(self.min_heartbeat_ms).min(self.heartbeat_ms)
     }
 
     /// Returns the number of heartbeats until every router has received one.
     pub fn rounds(&self, routers: usize) -> usize {
-        routers.div_ceil(self.at_once.max(1)).max(1)
+        routers.div_ceil(self.fan_out.max(1)).max(1)
     }
 }
--- a/crates/sapphiretrack-routing/src/lib.rs
+++ b/crates/sapphiretrack-routing/src/lib.rs
@@ -51,11 +51,11 @@
     ServerLoad,
 };
 pub use placement::{
-    Candidate, Distance, PlacementCosts, choose_server, compared, draw_server, fetch_source,
-    home_count, preferred_server,
+    Candidate, Distance, PlacementCosts, choose_server, fetch_source, home_count, home_server,
+    sample_candidates, sample_server,
 };
 pub use prefix_index::{PrefixIndex, SentPrefix, SentPrompts, SentTokens, WarmSettings};
-pub use prefix_recovery::{PrefixRecovery, PrefixServing, PrefixStep};
+pub use prefix_recovery::{PrefixRecovery, PrefixReplyLimiter, PrefixStep};
 pub use request::{PromptPrefix, RequestFacts, RequestKind};
 pub use retry_share::{RetrySettings, RetryShare};
 pub use server_health::{ServerHealth, ServerHealthSettings};
--- a/crates/sapphiretrack-routing/src/listing_readers.rs
+++ b/crates/sapphiretrack-routing/src/listing_readers.rs
@@ -23,10 +23,10 @@
     /// Maximum number of readers kept.
     pub const MAX_KEPT: usize = 128;
     /// Maximum number of readers suggested to another one.
-    pub const MAX_NAMED: usize = 16;
+    pub const MAX_SUGGESTED: usize = 16;
 
     /// Records that a router is being served.
-    pub fn note(&mut self, reader: ListingReader) {
+    pub fn record(&mut self, reader: ListingReader) {
         self.readers.retain(|one| one.address != reader.address);
         self.readers.push_front(reader);
         self.readers.truncate(Self::MAX_KEPT);
@@ -34,7 +34,7 @@
 
     /// Returns the latest other readers: those in the reader's availability zone, or all if there
     /// are none.
-    pub fn name_to(&self, reader: &ListingReader) -> Vec<SocketAddr> {
+    pub fn suggest_to(&self, reader: &ListingReader) -> Vec<SocketAddr> {
         let others = self.readers.iter();
         let others = others.filter(|one| one.address != reader.address);
         let near = others.clone().filter(|one| one.zone == reader.zone);
@@ -42,7 +42,7 @@
         if named.is_empty() {
             named = others.map(|one| one.address).collect();
         }
-        named.truncate(Self::MAX_NAMED);
+        named.truncate(Self::MAX_SUGGESTED);
         named
     }
 }
--- a/crates/sapphiretrack-routing/src/listing_source.rs
+++ b/crates/sapphiretrack-routing/src/listing_source.rs
@@ -133,22 +133,22 @@
     }
 
     /// Records that another router failed to answer.
-    pub fn note_peer_failure(&mut self, draw: f64, now_ms: u64) {
+    pub fn record_peer_failure(&mut self, draw: f64, now_ms: u64) {
         let (least_ms, range_ms) = Self::PEER_RETRY_MS;
         self.next_peer_ms = now_ms + least_ms + (range_ms * draw) as u64;
     }
 
     /// Records that another router was too busy to answer. That does not count as a failed attempt:
     /// as more routers get the listing, one soon has capacity.
-    pub fn note_peer_busy(&mut self, draw: f64, now_ms: u64) {
+    pub fn record_peer_busy(&mut self, draw: f64, now_ms: u64) {
         self.attempts = self.attempts.saturating_sub(1);
         self.has_met_busy = true;
-        self.note_peer_failure(draw, now_ms);
+        self.record_peer_failure(draw, now_ms);
     }
 
     /// Records that the store failed to answer. Other routers are asked again first, since they may
     /// have learned more by then.
-    pub fn note_store_failure(&mut self, live: usize, draw: f64, now_ms: u64) {
+    pub fn record_store_failure(&mut self, live: usize, draw: f64, now_ms: u64) {
         // A change that others have is missing only here and must be read within a bounded time.
         let range_ms = match self.has_holders {
             true => Self::MIN_STORE_RETRY_MS,
--- a/crates/sapphiretrack-routing/src/load_digest.rs
+++ b/crates/sapphiretrack-routing/src/load_digest.rs
@@ -145,12 +145,12 @@
     }
 
     /// Records the reported loads, which the digest will include.
-    pub fn note_report(&mut self, loads: &[LoadEntry]) {
+    pub fn record_report(&mut self, loads: &[LoadEntry]) {
         self.reported = loads.to_vec();
     }
 
     /// Applies a digest, without this router's own last report.
-    pub fn note_digest(&mut self, from: SocketAddr, loads: &[LoadEntry], now_ms: u64) {
+    pub fn record_digest(&mut self, from: SocketAddr, loads: &[LoadEntry], now_ms: u64) {
         if let Some((collector, since_ms)) = &mut self.unanswered
             && *collector == from
         {
@@ -218,7 +218,7 @@
     const ENTRY_BYTES: u64 = 8;
 
     /// Records a report unless a newer one is known.
-    pub fn note_report(&mut self, report: LoadReport, now_ms: u64) {
+    pub fn record_report(&mut self, report: LoadReport, now_ms: u64) {
         let known = self.reports.get(&report.name);
         let is_older = known.is_some_and(|(known, received_ms)| {
             now_ms < received_ms + Self::KEEP_MS
@@ -231,7 +231,7 @@
     }
 
     /// Records the sums of another zone, or of another collector of this one.
-    pub fn note_zone(&mut self, zone: ZoneLoads, now_ms: u64) {
+    pub fn record_zone(&mut self, zone: ZoneLoads, now_ms: u64) {
         let key = (zone.zone.clone(), zone.collector);
         self.zones.insert(key, (zone, now_ms));
     }
--- a/crates/sapphiretrack-routing/src/peer_loads.rs
+++ b/crates/sapphiretrack-routing/src/peer_loads.rs
@@ -81,7 +81,7 @@
     const SLOWER_WEIGHT: f64 = 0.005;
 
     /// Records the time of a served request in milliseconds.
-    pub fn note(&mut self, took_ms: u64) {
+    pub fn record(&mut self, took_ms: u64) {
         let took_ms = took_ms as f64;
         let estimate = self.0.get_or_insert(took_ms);
         let weight = match took_ms < *estimate {
--- a/crates/sapphiretrack-routing/src/peers.rs
+++ b/crates/sapphiretrack-routing/src/peers.rs
@@ -221,7 +221,7 @@
     }
 
     /// Records the routers that the collectors report as silent.
-    pub fn note_silent(&mut self, silent: &[u32], now_ms: u64) {
+    pub fn record_silent(&mut self, silent: &[u32], now_ms: u64) {
         self.silent = silent.iter().copied().collect();
         self.silent_until_ms = now_ms + Self::SILENT_VALID_MS;
     }
@@ -256,7 +256,7 @@
 
     /// Records a heartbeat. Returns true if the router was not known before, came back or changed
     /// state.
-    pub fn note(&mut self, heartbeat: Heartbeat, now_ms: u64) -> bool {
+    pub fn record(&mut self, heartbeat: Heartbeat, now_ms: u64) -> bool {
         let liveness_timeout_ms = self.liveness_timeout_ms();
         self.listed.remove(&heartbeat.name);
         if !self.is_newer(&heartbeat, now_ms) {
@@ -287,7 +287,7 @@
     }
 
     /// Records how up to date the listings of a known router are.
-    pub fn note_listings(
+    pub fn record_listings(
         &mut self,
         name: &str,
         configuration: ListingAdvert,
@@ -300,7 +300,7 @@
     }
 
     /// Removes routers that have been silent for too long to still exist. Returns their names.
-    pub fn forget_lost(&mut self, now_ms: u64) -> Vec<String> {
+    pub fn remove_expired(&mut self, now_ms: u64) -> Vec<String> {
         let lost = self.peers.iter();
         let lost = lost.filter(|(_, peer)| now_ms >= peer.last_seen_ms + Self::FORGET_AFTER_MS);
         let lost: Vec<String> = lost.map(|(name, _)| name.clone()).collect();
@@ -351,7 +351,7 @@
 
     /// Records the routers that the store lists. They count as live until they have had time to
     /// send a heartbeat, so that not every router of a starting fleet ranks first.
-    pub fn note_listed<Routers>(&mut self, routers: Routers, now_ms: u64)
+    pub fn record_listed<Routers>(&mut self, routers: Routers, now_ms: u64)
     where
         Routers: IntoIterator<Item = ListedRouter>,
     {
@@ -421,7 +421,7 @@
     }
 
     /// Returns the live routers, including `own`, that rank first for a key by rendezvous hashing.
-    pub fn stewards(
+    pub fn key_owners(
         &self,
         key: u64,
         own: (&str, SocketAddr),
@@ -497,7 +497,7 @@
     }
 
     /// Returns the number of other routers that may still exist, live or not.
-    pub fn may_exist(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.peers.len()
     }
 
--- a/crates/sapphiretrack-routing/src/placement.rs
+++ b/crates/sapphiretrack-routing/src/placement.rs
@@ -128,7 +128,7 @@
 /// A prefix whose requests would fill one server has several homes (`homes`), and `draw`, a random
 /// number below 1, distributes the requests over them. Counts of requests are too old for this in a
 /// large fleet: a hot prefix brings many requests between two heartbeats.
-pub fn preferred_server<Servers>(
+pub fn home_server<Servers>(
     prefix: &PromptPrefix,
     servers: Servers,
     homes: usize,
@@ -191,7 +191,7 @@
 /// All routers see the same delayed counts. If each chose the least loaded of all servers, or of
 /// all holders of a common prefix, the one that looked emptiest would get the next requests of all
 /// routers. The least loaded of a few random ones is nearly as good, and differs between routers.
-pub fn compared<Draw>(candidates: &[Candidate], mut draw: Draw) -> Vec<usize>
+pub fn sample_candidates<Draw>(candidates: &[Candidate], mut draw: Draw) -> Vec<usize>
 where
     Draw: FnMut() -> f64,
 {
@@ -257,7 +257,7 @@
 /// some time, as slow ones are. Suspects are chosen only if there is nothing else. While the
 /// service is overloaded, requests are refused with `None`, the more of them the more of its
 /// capacity is in use, so that admitted requests still find a short queue.
-pub fn draw_server<Draw>(candidates: &[Candidate], mut draw: Draw) -> Option<usize>
+pub fn sample_server<Draw>(candidates: &[Candidate], mut draw: Draw) -> Option<usize>
 where
     Draw: FnMut() -> f64,
 {
--- a/crates/sapphiretrack-routing/src/prefix_index.rs
+++ b/crates/sapphiretrack-routing/src/prefix_index.rs
@@ -120,7 +120,7 @@
     }
 
     /// Records that this router sent a prompt to a server.
-    pub fn note_sent(&mut self, server: Incarnation, facts: &RequestFacts, now_ms: u64) {
+    pub fn record_sent(&mut self, server: Incarnation, facts: &RequestFacts, now_ms: u64) {
         for prefix in facts.shared_prefixes() {
             self.record_prefix(server, *prefix, now_ms);
             self.count_send(prefix.id, now_ms);
@@ -142,14 +142,14 @@
 
     /// Records the answer of a router that was asked for prefixes. It tells who holds them and does
     /// not count as sends.
-    pub fn note_holdings(&mut self, holdings: &[SentPrefix], now_ms: u64) {
+    pub fn record_holdings(&mut self, holdings: &[SentPrefix], now_ms: u64) {
         for held in holdings {
             self.record_prefix(Incarnation(held.server), held.prompt_prefix(), now_ms);
         }
     }
 
     /// Records what another router sent since its last heartbeat.
-    pub fn note_advertised(&mut self, sent: &SentPrompts, now_ms: u64) {
+    pub fn record_advertised(&mut self, sent: &SentPrompts, now_ms: u64) {
         for prefix in &sent.prefixes {
             self.record_prefix(Incarnation(prefix.server), prefix.prompt_prefix(), now_ms);
             self.count_send(prefix.prefix, now_ms);
--- a/crates/sapphiretrack-routing/src/prefix_recovery.rs
+++ b/crates/sapphiretrack-routing/src/prefix_recovery.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records that the prefixes were received.
-    pub fn note_advertised(&mut self) {
+    pub fn record_advertised(&mut self) {
         self.knows = true;
     }
 
@@ -78,17 +78,17 @@
 /// Limits the number of routers to which prefixes are sent in a time window. The others ask again
 /// when more routers know, so the prefixes spread exponentially instead of over one link.
 #[derive(Clone, Debug, Default)]
-pub struct PrefixServing {
+pub struct PrefixReplyLimiter {
     since_ms: u64,
     served: u32,
 }
 
-impl PrefixServing {
+impl PrefixReplyLimiter {
     const WINDOW_MS: u64 = 250;
     const SERVED_IN_WINDOW: u32 = 8;
 
     /// Returns whether one more router may be served now, and counts it.
-    pub fn may_serve(&mut self, now_ms: u64) -> bool {
+    pub fn try_serve(&mut self, now_ms: u64) -> bool {
         if now_ms >= self.since_ms + Self::WINDOW_MS {
             self.since_ms = now_ms;
             self.served = 0;
--- a/crates/sapphiretrack-routing/src/retry_share.rs
+++ b/crates/sapphiretrack-routing/src/retry_share.rs
@@ -89,12 +89,12 @@
     }
 
     /// Records a caller's request for a service.
-    pub fn note_request(&mut self, service: &str, now_ms: u64) {
+    pub fn record_request(&mut self, service: &str, now_ms: u64) {
         self.slice(service, now_ms).requests += 1;
     }
 
     /// Records the outcome of an attempt.
-    pub fn note_end(&mut self, service: &str, succeeded: bool, now_ms: u64) {
+    pub fn record_end(&mut self, service: &str, succeeded: bool, now_ms: u64) {
         let slice = self.slice(service, now_ms);
         match succeeded {
             true => slice.successes += 1,
@@ -104,7 +104,7 @@
 
     /// Records that a service had no capacity for a request. Returns true if it did not count as
     /// full before.
-    pub fn note_full(&mut self, service: &str, now_ms: u64) -> bool {
+    pub fn record_full(&mut self, service: &str, now_ms: u64) -> bool {
         let was_full = self.is_full(service, now_ms);
         let full_until_ms = now_ms + self.settings.full_ms;
         self.window(service, now_ms).full_until_ms = full_until_ms;
@@ -120,7 +120,7 @@
 
     /// Uses one retry if the share allows it and the service is not failing as a whole. `routers`
     /// is the number of routers that may exist.
-    pub fn try_repeat(&mut self, service: &str, routers: usize, now_ms: u64) -> bool {
+    pub fn try_retry(&mut self, service: &str, routers: usize, now_ms: u64) -> bool {
         let settings = self.settings.clone();
         let window = self.window(service, now_ms);
         let sum = window.sum();
--- a/crates/sapphiretrack-routing/src/server_health.rs
+++ b/crates/sapphiretrack-routing/src/server_health.rs
@@ -47,7 +47,7 @@
 
 impl ServerHealth {
     /// Records that a request was sent.
-    pub fn note_sent(&mut self, now_ms: u64) {
+    pub fn record_sent(&mut self, now_ms: u64) {
         if self.in_flight == 0 {
             self.waiting_since_ms = Some(now_ms);
         }
@@ -55,13 +55,13 @@
     }
 
     /// Records that bytes of an answer arrived.
-    pub fn note_progress(&mut self, now_ms: u64) {
+    pub fn record_progress(&mut self, now_ms: u64) {
         self.waiting_since_ms = Some(now_ms);
         self.consecutive_unreachable = 0;
     }
 
     /// Records that a request is no longer at the server.
-    pub fn note_left(&mut self) {
+    pub fn record_finished(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
             self.waiting_since_ms = None;
@@ -69,7 +69,7 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn note_outcome(&mut self, settings: &ServerHealthSettings, failed: bool, now_ms: u64) {
+    pub fn record_outcome(&mut self, settings: &ServerHealthSettings, failed: bool, now_ms: u64) {
         let share = self.failure_share(settings, now_ms);
         let outcome = if failed { 1.0 } else { 0.0 };
         self.failure_share = share + settings.outcome_weight * (outcome - share);
@@ -77,7 +77,7 @@
     }
 
     /// Records that no connection could be established.
-    pub fn note_unreachable(&mut self, settings: &ServerHealthSettings, now_ms: u64) {
+    pub fn record_unreachable(&mut self, settings: &ServerHealthSettings, now_ms: u64) {
         let doubled = settings.unreachable_ms << self.consecutive_unreachable.min(8);
         self.unreachable_until_ms = now_ms + doubled.min(settings.max_unreachable_ms);
         self.consecutive_unreachable += 1;
--- a/crates/sapphiretrack-routing/src/server_list.rs
+++ b/crates/sapphiretrack-routing/src/server_list.rs
@@ -104,13 +104,13 @@
     const MAX_DRAINED: usize = 10_000;
 
     /// Records that the store answers this router again after an outage.
-    pub fn note_store_back(&mut self, now_ms: u64) {
+    pub fn record_store_recovery(&mut self, now_ms: u64) {
         self.recovery_grace_until_ms = now_ms + Self::RECOVERY_GRACE_MS;
     }
 
     /// Records the time at which another router saw the store recover from an outage, which this
     /// router may not have noticed. Idempotent.
-    pub fn note_peer_recovery(&mut self, recovered_ms: u64) {
+    pub fn record_peer_recovery(&mut self, recovered_ms: u64) {
         let until_ms = recovered_ms + Self::PEER_RECOVERY_GRACE_MS;
         self.recovery_grace_until_ms = self.recovery_grace_until_ms.max(until_ms);
     }
@@ -160,7 +160,7 @@
     }
 
     /// Drops entries that were not restored in time. Returns their ids.
-    pub fn settle(&mut self, now_ms: u64) -> Vec<Arc<str>> {
+    pub fn drop_missing(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         if now_ms < self.recovery_grace_until_ms {
             return Vec::new();
         }
@@ -180,7 +180,7 @@
     }
 
     /// Returns whether entries are missing that may still be restored.
-    pub fn is_settling(&self) -> bool {
+    pub fn has_missing_entries(&self) -> bool {
         let mut servers = self.servers.values();
         servers.any(|listed| listed.missing_since_ms.is_some())
     }
--- a/crates/sapphiretrack-routing/src/stop.rs
+++ b/crates/sapphiretrack-routing/src/stop.rs
@@ -13,9 +13,9 @@
     /// It still accepts requests, since callers may have lookups that name it.
     Serving,
     /// It rejects new requests as not run, and completes those in flight.
-    Finishing,
+    Draining,
     /// It exits.
-    Over,
+    Finished,
 }
 
 impl StopTimes {
@@ -33,15 +33,15 @@
     pub fn phase(&self, since_ms: u64, in_flight: usize, quiet_ms: u64) -> StopPhase {
         let end_ms = self.grace_ms.saturating_sub(Self::RESERVE_MS);
         if since_ms >= end_ms {
-            return StopPhase::Over;
+            return StopPhase::Finished;
         }
         let idle = in_flight == 0 && quiet_ms >= Self::QUIET_MS && since_ms >= Self::QUIET_MS;
         if idle {
-            return StopPhase::Over;
+            return StopPhase::Finished;
         }
         match since_ms < Self::SERVE_MS {
             true => StopPhase::Serving,
-            false => StopPhase::Finishing,
+            false => StopPhase::Draining,
         }
     }
 }
--- a/crates/sapphiretrack-routing/src/watch_state.rs
+++ b/crates/sapphiretrack-routing/src/watch_state.rs
@@ -56,26 +56,26 @@
 
 impl WatchState {
     /// Records that a call failed. Returns true if the previous one did not.
-    pub fn note_failure(&mut self, sent_ms: u64) -> bool {
+    pub fn record_failure(&mut self, sent_ms: u64) -> bool {
         let is_first = self.failing_since_ms.is_none();
         self.failing_since_ms.get_or_insert(sent_ms);
         is_first
     }
 
     /// Updates the mapping of the store's clock with an answer about another listing.
-    pub fn note_clock(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) {
+    pub fn record_clock(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) {
         self.freshness
-            .note_clock(sent_ms, received_ms, store_now_ms);
+            .record_clock(sent_ms, received_ms, store_now_ms);
         // A proof that arrived before the clock was known counts from now on.
         if let Some(store_ms) = self.advert.proven_store_ms {
-            self.freshness.note_proof(store_ms, received_ms);
+            self.freshness.record_proof(store_ms, received_ms);
         }
     }
 
     /// Records an answer of the store. Returns how long the store was unavailable, in milliseconds:
     /// for as long as calls failed, but 0 if another router got a proof from the store in that
     /// time. Then the store was available, and entries missing from it are gone.
-    pub fn note_answer(&mut self, answer: &WatchAnswer) -> u64 {
+    pub fn record_answer(&mut self, answer: &WatchAnswer) -> u64 {
         let received_ms = answer.received_ms;
         let age_ms = self.age_ms(received_ms).unwrap_or(received_ms);
         let proven_ms = received_ms.saturating_sub(age_ms);
@@ -83,7 +83,7 @@
         let away_since_ms = failing_since_ms.filter(|since| proven_ms <= *since);
         let sent_ms = answer.sent_ms;
         self.freshness
-            .note_answer(sent_ms, received_ms, answer.store_now_ms);
+            .record_answer(sent_ms, received_ms, answer.store_now_ms);
         self.version = Some(answer.version);
         // A removal may have any version up to the answer's.
         let changed = match answer.may_hide_removals {
@@ -97,7 +97,7 @@
     }
 
     /// Records what another router advertises. Returns true if a change is missing here.
-    pub fn note_advert(&mut self, advert: &ListingAdvert, now_ms: u64) -> bool {
+    pub fn record_advert(&mut self, advert: &ListingAdvert, now_ms: u64) -> bool {
         self.advert.recovered_store_ms = self
             .advert
             .recovered_store_ms
@@ -111,7 +111,7 @@
             return true;
         }
         if let Some(store_ms) = advert.proven_store_ms {
-            self.freshness.note_proof(store_ms, now_ms);
+            self.freshness.record_proof(store_ms, now_ms);
             // A proof is valid only together with the change that it refers to.
             let changed = advert.changed_version;
             self.advert.changed_version = self.advert.changed_version.max(changed);
@@ -124,7 +124,7 @@
     /// Records that another router sends all changes between two versions. Returns true if they are
     /// new here and nothing is missing before them. The caller must apply them at once: older
     /// changes applied after newer ones would restore servers that are gone.
-    pub fn note_changes(&mut self, after: u64, version: u64, now_ms: u64) -> bool {
+    pub fn record_changes(&mut self, after: u64, version: u64, now_ms: u64) -> bool {
         let Some(known) = self.version else {
             return false;
         };
@@ -139,22 +139,22 @@
 
     /// Records a whole listing of another router. Returns true if it is newer than the local one.
     /// The caller must apply it at once, like changes.
-    pub fn note_snapshot(&mut self, version: u64, advert: &ListingAdvert, now_ms: u64) -> bool {
+    pub fn record_snapshot(&mut self, version: u64, advert: &ListingAdvert, now_ms: u64) -> bool {
         if self.version.is_some_and(|known| known >= version) {
             return false;
         }
         self.version = Some(version);
-        self.note_advert(advert, now_ms);
+        self.record_advert(advert, now_ms);
         true
     }
 
     /// Records that the store recovered from an outage at a time of its clock.
-    pub fn note_recovery(&mut self, store_ms: u64) {
+    pub fn record_recovery(&mut self, store_ms: u64) {
         self.advert.recovered_store_ms = self.advert.recovered_store_ms.max(Some(store_ms));
     }
 
     /// Records that this router's last answer ended an outage of the store.
-    pub fn note_own_recovery(&mut self) {
+    pub fn record_own_recovery(&mut self) {
         self.advert.recovered_store_ms = self
             .advert
             .recovered_store_ms
--- a/crates/sapphiretrack-routing/tests/configuration_change.rs
+++ b/crates/sapphiretrack-routing/tests/configuration_change.rs
@@ -106,7 +106,7 @@
         for (index, pair) in versions.windows(2).enumerate() {
             // No changes lead from a version before the gap to one after it.
             if index != gap_at {
-                log.note(ConfigurationChange::between(&pair[0], &pair[1]));
+                log.record(ConfigurationChange::between(&pair[0], &pair[1]));
             }
         }
         let pairs = versions.len() - 1;
@@ -167,7 +167,7 @@
     };
     let mut log = ConfigurationLog::default();
     for version in 1..20 {
-        log.note(ConfigurationChange::between(
+        log.record(ConfigurationChange::between(
             &with_routes(version),
             &with_routes(version + 1),
         ));
@@ -179,7 +179,7 @@
     assert!(log.since(20).is_some_and(|changes| changes.is_empty()));
     for version in 20..2_000 {
         let empty = |version| Configuration::new(version, Vec::new(), Vec::new());
-        log.note(ConfigurationChange::between(
+        log.record(ConfigurationChange::between(
             &empty(version),
             &empty(version + 1),
         ));
--- a/crates/sapphiretrack-routing/tests/crash_evidence.rs
+++ b/crates/sapphiretrack-routing/tests/crash_evidence.rs
@@ -129,7 +129,7 @@
     ) {
         let mut evidence = CrashEvidence::default();
         evidence.merge(&before, 0);
-        let voided = evidence.note_answered(fingerprint(request), 0);
+        let voided = evidence.record_answered(fingerprint(request), 0);
         prop_assert_eq!(evidence.crashes(fingerprint(request)), 0);
         // Another router that still holds the crashes learns that they are void.
         let mut other = CrashEvidence::default();
@@ -160,11 +160,11 @@
     let mut evidence = CrashEvidence::default();
     let request = fingerprint(1);
     for server in [1, 2, 2, 1] {
-        evidence.note_crash(request, server, 1_000);
+        evidence.record_crash(request, server, 1_000);
     }
     assert_eq!(evidence.crashes(request), 2);
-    assert!(evidence.may_know(request.outline));
-    let end_ms = 1_000 + CrashEvidence::KEPT_MS;
+    assert!(evidence.may_have_records(request.outline));
+    let end_ms = 1_000 + CrashEvidence::RETENTION_MS;
     let mut other = CrashEvidence::default();
     // Two routers keep sending the records to each other.
     for now_ms in (2_000..end_ms).step_by(60_000) {
@@ -177,7 +177,7 @@
         evidence.expire(end_ms);
         assert_eq!(evidence.crashes(request), 0);
         assert!(evidence.is_empty());
-        assert!(!evidence.may_know(request.outline));
+        assert!(!evidence.may_have_records(request.outline));
     }
 }
 
@@ -185,11 +185,11 @@
 fn the_number_of_requests_is_bounded_and_those_with_the_fewest_crashes_are_dropped() {
     let mut evidence = CrashEvidence::default();
     for server in 0..MAX_CRASHES as u64 {
-        evidence.note_crash(fingerprint(0), server, 5);
+        evidence.record_crash(fingerprint(0), server, 5);
     }
     let flood = 3 * CrashEvidence::MAX_REQUESTS as u64;
     for request in 1..flood {
-        evidence.note_crash(fingerprint(request), 7, 10 + request);
+        evidence.record_crash(fingerprint(request), 7, 10 + request);
     }
     let kept = evidence.records(1, usize::MAX, flood);
     assert!(kept.len() <= CrashEvidence::MAX_REQUESTS + MAX_CRASHES);
@@ -201,7 +201,7 @@
         fingerprint(0)
     );
     for server in 0..1_000 {
-        evidence.note_crash(fingerprint(0), server, flood);
+        evidence.record_crash(fingerprint(0), server, flood);
     }
     assert!(evidence.crashes(fingerprint(0)) <= CrashEvidence::MAX_SERVERS);
 }
@@ -265,7 +265,7 @@
         self.messages = later;
         let due: Vec<(u64, usize, Vec<usize>, Vec<CrashRecord>)> = due;
         for (_, from, recipients, records) in due {
-            let is_report = records.len() < CrashEvidence::SHARED_FROM;
+            let is_report = records.len() < CrashEvidence::MIN_SHARED_RECORDS;
             for to in recipients {
                 if !self.is_delivered(from, to, now_ms) {
                     continue;
@@ -317,7 +317,7 @@
     for now_ms in (0..60_000).step_by(STEP_MS as usize) {
         if let Some(server) = crashes.iter().position(|at_ms| *at_ms == now_ms) {
             let router = fleet.random.random_range(0..routers);
-            let record = fleet.routers[router].note_crash(fingerprint(1), server as u64, now_ms);
+            let record = fleet.routers[router].record_crash(fingerprint(1), server as u64, now_ms);
             fleet.send(router, &[record.expect("the crash is new")], now_ms);
         }
         fleet.deliver(now_ms);
--- a/crates/sapphiretrack-routing/tests/few_slots.rs
+++ b/crates/sapphiretrack-routing/tests/few_slots.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sapphiretrack_routing::{
-    Candidate, Distance, Incarnation, LoadsByServer, PeerLoads, ServiceTime, draw_server,
+    Candidate, Distance, Incarnation, LoadsByServer, PeerLoads, ServiceTime, sample_server,
 };
 
 /// Requests that a server runs at once.
@@ -90,7 +90,7 @@
             // One retry, as most routes allow.
             for _ in 0..2 {
                 let candidates = candidates(&servers, &loads, &tried);
-                let Some(index) = draw_server(&candidates, || random.random()) else {
+                let Some(index) = sample_server(&candidates, || random.random()) else {
                     break;
                 };
                 arrivals[index] += 1;
@@ -172,7 +172,7 @@
     let mut service_time = ServiceTime::default();
     assert!(service_time.estimate_ms().is_none());
     for _ in 0..100 {
-        service_time.note(20);
+        service_time.record(20);
     }
     let loads = PeerLoads::default().update(LoadsByServer::new(), DIGEST_AGE_MS, 1_000);
     assert!(loads.is_outdated(service_time.estimate_ms(), 1_000));
@@ -187,7 +187,7 @@
     for _ in 0..2_000 {
         // In an overload most requests wait behind others.
         let wait_ms = random.random_range(0..200);
-        service_time.note(20 + wait_ms);
+        service_time.record(20 + wait_ms);
     }
     let estimate_ms = service_time.estimate_ms().expect("requests have ended");
     assert!((20.0..80.0).contains(&estimate_ms), "{estimate_ms}");
--- a/crates/sapphiretrack-routing/tests/freshness.rs
+++ b/crates/sapphiretrack-routing/tests/freshness.rs
@@ -21,7 +21,7 @@
             let answered_ms = sent_ms + outbound + at_store;
             now_ms = answered_ms + inbound;
             last_answered_ms = answered_ms;
-            freshness.note_answer(sent_ms, now_ms, answered_ms - offset);
+            freshness.record_answer(sent_ms, now_ms, answered_ms - offset);
             let age_ms = freshness.age_ms(now_ms).expect("an answer was received");
             prop_assert!(now_ms - age_ms <= answered_ms, "the proof is later than the answer");
             prop_assert!(now_ms - age_ms >= sent_ms, "the proof is earlier than the call");
@@ -37,13 +37,13 @@
         after in 0_u64..2_000_000,
     ) {
         let mut freshness = Freshness::default();
-        freshness.note_answer(3_000_000, 3_000_004, before);
+        freshness.record_answer(3_000_000, 3_000_004, before);
         // The next call takes from 3,010,000 to 3,010,004 on the local clock.
-        freshness.note_answer(3_010_000, 3_010_004, after);
+        freshness.record_answer(3_010_000, 3_010_004, after);
         let age_ms = freshness.age_ms(3_010_004).expect("an answer was received");
         prop_assert!(age_ms <= 4);
         // A late answer with the store time of the last one proves nothing newer.
-        freshness.note_answer(3_010_000, 3_015_000, after);
+        freshness.record_answer(3_010_000, 3_015_000, after);
         prop_assert!(freshness.age_ms(3_015_000).expect("an answer was received") >= 4_990);
     }
 }
@@ -56,8 +56,8 @@
 #[test]
 fn a_watch_answer_proves_its_end_once_the_clock_offset_is_known() {
     let mut freshness = Freshness::default();
-    freshness.note_answer(1_000, 1_004, 50_002);
-    freshness.note_answer(1_010, 4_014, 53_012);
+    freshness.record_answer(1_000, 1_004, 50_002);
+    freshness.record_answer(1_010, 4_014, 53_012);
     let age_ms = freshness.age_ms(4_014).expect("an answer was received");
     assert!(age_ms <= 8, "the proof is {age_ms} ms old");
 }
--- a/crates/sapphiretrack-routing/tests/heartbeat_pace.rs
+++ b/crates/sapphiretrack-routing/tests/heartbeat_pace.rs
@@ -5,7 +5,7 @@
 const PACE: HeartbeatPace = HeartbeatPace {
     heartbeat_ms: 250,
     min_heartbeat_ms: 100,
-    at_once: 24,
+    fan_out: 24,
 };
 
 /// In a small fleet each router can fill the slots of several servers within one heartbeat
@@ -21,9 +21,9 @@
 
 #[test]
 fn no_fleet_needs_more_datagrams_per_second_than_a_large_one() {
-    let max_per_s = PACE.at_once as f64 * 1_000.0 / PACE.heartbeat_ms as f64;
+    let max_per_s = PACE.fan_out as f64 * 1_000.0 / PACE.heartbeat_ms as f64;
     for routers in 0..400 {
-        let recipients = routers.min(PACE.at_once) as f64;
+        let recipients = routers.min(PACE.fan_out) as f64;
         let per_s = recipients * 1_000.0 / PACE.pause_ms(routers) as f64;
         assert!(
             per_s <= max_per_s,
--- a/crates/sapphiretrack-routing/tests/large_listing.rs
+++ b/crates/sapphiretrack-routing/tests/large_listing.rs
@@ -78,7 +78,7 @@
                     router.known_holders.extend(suggested);
                     router.known_holders.sort_unstable();
                     router.known_holders.dedup();
-                    router.source.note_peer_busy(random.random(), now_ms);
+                    router.source.record_peer_busy(random.random(), now_ms);
                 } else {
                     fleet[index].has_listing = true;
                     completed_ms = now_ms;
@@ -185,17 +185,17 @@
 fn a_router_that_missed_changes_reads_only_those() {
     let mut log = ChangeLog::default();
     assert_eq!(log.since(0), None);
-    log.note(batch(10, 12, 2));
-    log.note(batch(12, 20, 1));
+    log.record(batch(10, 12, 2));
+    log.record(batch(12, 20, 1));
     // The changes of a second watcher overlap those of the first one.
-    log.note(batch(18, 30, 3));
+    log.record(batch(18, 30, 3));
     assert_eq!(log.since(9), None, "older changes are not in the log");
     let all = log.since(10).expect("the changes are in the log");
     assert_eq!((all.after, all.version, all.changes.len()), (10, 30, 6));
     assert_eq!(log.since(15).map(|later| later.changes.len()), Some(4));
     assert_eq!(log.since(20), Some(batch(18, 30, 3)));
     assert_eq!(log.since(30), None);
-    log.note(batch(40, 41, 1));
+    log.record(batch(40, 41, 1));
     assert_eq!(log.since(30), None, "changes between are missing");
     assert_eq!(log.since(40), Some(batch(40, 41, 1)));
     log.clear();
@@ -207,12 +207,12 @@
     let mut log = ChangeLog::default();
     let count = ChangeLog::MAX_CHANGES as u64 / 4;
     for version in 1..=20 {
-        log.note(batch(version - 1, version, count));
+        log.record(batch(version - 1, version, count));
     }
     assert_eq!(log.since(15), None);
     let kept = log.since(16).expect("the latest changes are kept");
     assert_eq!(kept.changes.len(), ChangeLog::MAX_CHANGES);
-    log.note(batch(20, 21, ChangeLog::MAX_CHANGES as u64 + 1));
+    log.record(batch(20, 21, ChangeLog::MAX_CHANGES as u64 + 1));
     assert_eq!(log.since(20), None, "a batch above the bound is not kept");
 }
 
@@ -292,25 +292,25 @@
         address: ([10, 0, 0, number], 80).into(),
     };
     let mut readers = ListingReaders::default();
-    assert!(readers.name_to(&reader(1, "a")).is_empty());
-    readers.note(reader(1, "a"));
-    readers.note(reader(2, "b"));
-    readers.note(reader(3, "a"));
-    readers.note(reader(1, "a"));
+    assert!(readers.suggest_to(&reader(1, "a")).is_empty());
+    readers.record(reader(1, "a"));
+    readers.record(reader(2, "b"));
+    readers.record(reader(3, "a"));
+    readers.record(reader(1, "a"));
     assert_eq!(
-        readers.name_to(&reader(9, "a")),
+        readers.suggest_to(&reader(9, "a")),
         [reader(1, "a").address, reader(3, "a").address]
     );
     assert_eq!(
-        readers.name_to(&reader(2, "b")).len(),
+        readers.suggest_to(&reader(2, "b")).len(),
         2,
         "without the asking router"
     );
-    assert_eq!(readers.name_to(&reader(9, "c")).len(), 3);
+    assert_eq!(readers.suggest_to(&reader(9, "c")).len(), 3);
     for number in 0..200 {
-        readers.note(reader(number, "c"));
+        readers.record(reader(number, "c"));
     }
-    let suggested = readers.name_to(&reader(9, "c"));
-    assert_eq!(suggested.len(), ListingReaders::MAX_NAMED);
+    let suggested = readers.suggest_to(&reader(9, "c"));
+    assert_eq!(suggested.len(), ListingReaders::MAX_SUGGESTED);
     assert_eq!(suggested[0], reader(199, "c").address);
 }
--- a/crates/sapphiretrack-routing/tests/listing_source.rs
+++ b/crates/sapphiretrack-routing/tests/listing_source.rs
@@ -87,9 +87,11 @@
                         router.completed_ms = now_ms;
                         continue;
                     }
-                    (false, Some(_)) => router.source.note_peer_failure(draw, now_ms),
+                    (false, Some(_)) => router.source.record_peer_failure(draw, now_ms),
                     (false, None) => {
-                        router.source.note_store_failure(routers - 1, draw, now_ms);
+                        router
+                            .source
+                            .record_store_failure(routers - 1, draw, now_ms);
                         if index < WATCHERS {
                             router.paused_until_ms = now_ms + WATCHER_PAUSE_MS;
                             continue;
@@ -214,11 +216,11 @@
                     peer_calls += 1;
                     longest_gap_ms = longest_gap_ms.max(now_ms - last_peer_ms);
                     last_peer_ms = now_ms;
-                    source.note_peer_failure(random.random(), now_ms);
+                    source.record_peer_failure(random.random(), now_ms);
                 }
                 ListingStep::Store => {
                     store_calls += 1;
-                    source.note_store_failure(live, random.random(), now_ms);
+                    source.record_store_failure(live, random.random(), now_ms);
                 }
             }
         }
@@ -263,7 +265,7 @@
         ..view(ListingNeed::Proof, now_ms)
     };
     assert_eq!(source.step(&isolated(0)), ListingStep::Store);
-    source.note_store_failure(0, 0.5, 10);
+    source.record_store_failure(0, 0.5, 10);
     let step = source.step(&isolated(20));
     assert!(matches!(step, ListingStep::Wait { until_ms } if until_ms >= 500));
     assert_eq!(source.step(&isolated(2_000)), ListingStep::Store);
@@ -282,7 +284,7 @@
             });
             if step == ListingStep::Store {
                 probes += 1;
-                source.note_store_failure(294, random.random(), now_ms);
+                source.record_store_failure(294, random.random(), now_ms);
             }
         }
     }
--- a/crates/sapphiretrack-routing/tests/load_digest.rs
+++ b/crates/sapphiretrack-routing/tests/load_digest.rs
@@ -151,13 +151,13 @@
             return;
         }
         match message {
-            Message::Report(report) => router.collector.note_report(report, now_ms),
-            Message::Zone(zone) => router.collector.note_zone(zone, now_ms),
+            Message::Report(report) => router.collector.record_report(report, now_ms),
+            Message::Zone(zone) => router.collector.record_zone(zone, now_ms),
             Message::Digest(digest) => {
                 router.silent = digest.silent;
                 router
                     .reporter
-                    .note_digest(address(from), &digest.loads, now_ms);
+                    .record_digest(address(from), &digest.loads, now_ms);
             }
         }
     }
@@ -176,7 +176,7 @@
             });
             let loads: Vec<LoadEntry> = loads.into_iter().collect();
             let router = &mut self.routers[index];
-            router.reporter.note_report(&loads);
+            router.reporter.record_report(&loads);
             router.sequence += 1;
             let sequence = router.sequence;
             let collectors = router.reporter.collectors(&ranked, now_ms);
@@ -381,9 +381,9 @@
             };
             // From 1,000 ms on "a" reports to one of them only.
             if name != "a" || now_ms < 1_000 {
-                collectors[0].note_report(report.clone(), now_ms);
+                collectors[0].record_report(report.clone(), now_ms);
             }
-            collectors[1].note_report(report, now_ms);
+            collectors[1].record_report(report, now_ms);
         }
         let collected = [0, 1].map(|index| {
             let collected = collectors[index].collect("z", address(index), now_ms);
@@ -391,8 +391,8 @@
         });
         let [collected_0, collected_1] = collected;
         assert!(collected_0.digest.silent.is_empty(), "{now_ms} ms");
-        collectors[0].note_zone(collected_1.zone, now_ms);
-        collectors[1].note_zone(collected_0.zone, now_ms);
+        collectors[0].record_zone(collected_1.zone, now_ms);
+        collectors[1].record_zone(collected_0.zone, now_ms);
     }
 }
 
@@ -423,13 +423,13 @@
         in_flight: 3,
         prefill_units: 2,
     };
-    reporter.note_report(&[own]);
+    reporter.record_report(&[own]);
     let total = LoadEntry {
         in_flight: 5,
         prefill_units: 7,
         ..own
     };
-    reporter.note_digest(address(1), &[total], 100);
+    reporter.record_digest(address(1), &[total], 100);
     let loads = reporter.loads(200).expect("the digest is recent");
     assert_eq!(loads[&1], (2, 5 * 64));
     assert!(reporter.loads(1_200).is_none(), "too old for placement");
@@ -458,9 +458,9 @@
         let sums = total.into_iter().map(|one| (one.server, one.in_flight));
         sums.collect::<BTreeMap<u32, u16>>()
     };
-    collector.note_report(report(9_000, 4), 0);
-    collector.note_report(report(5_000, 1), 500);
+    collector.record_report(report(9_000, 4), 0);
+    collector.record_report(report(5_000, 1), 500);
     assert_eq!(sums(&mut collector, 600)[&1], 4);
-    collector.note_report(report(5_000, 1), 1_100);
+    collector.record_report(report(5_000, 1), 1_100);
     assert_eq!(sums(&mut collector, 1_200)[&1], 1);
 }
--- a/crates/sapphiretrack-routing/tests/messages.rs
+++ b/crates/sapphiretrack-routing/tests/messages.rs
@@ -26,7 +26,7 @@
 impl Receiver {
     fn new() -> Self {
         let mut receiver = Self::default();
-        receiver.watch.note_answer(&WatchAnswer {
+        receiver.watch.record_answer(&WatchAnswer {
             may_hide_removals: true,
             sent_ms: 900,
             received_ms: 910,
@@ -40,33 +40,33 @@
     fn receive(&mut self, message: RouterMessage, now_ms: u64) {
         match message {
             RouterMessage::Heartbeat(heartbeat) => {
-                self.watch.note_advert(&heartbeat.servers, now_ms);
-                self.prefixes.note_advertised(&heartbeat.sent, now_ms);
+                self.watch.record_advert(&heartbeat.servers, now_ms);
+                self.prefixes.record_advertised(&heartbeat.sent, now_ms);
                 if self.peers.is_newer(&heartbeat, now_ms) {
-                    self.peers.note(*heartbeat, now_ms);
+                    self.peers.record(*heartbeat, now_ms);
                 }
             }
-            RouterMessage::Prefixes(prefixes) => self.prefixes.note_holdings(&prefixes, now_ms),
+            RouterMessage::Prefixes(prefixes) => self.prefixes.record_holdings(&prefixes, now_ms),
             RouterMessage::Listings {
                 name,
                 configuration,
                 servers,
             } => {
-                self.watch.note_advert(&servers, now_ms);
-                self.peers.note_listings(&name, configuration, servers);
+                self.watch.record_advert(&servers, now_ms);
+                self.peers.record_listings(&name, configuration, servers);
             }
             RouterMessage::Servers { fragment, advert } => {
                 if let Some(changes) = self.assembly.add(fragment) {
                     self.watch
-                        .note_changes(changes.after, changes.version, now_ms);
+                        .record_changes(changes.after, changes.version, now_ms);
                 }
-                self.watch.note_advert(&advert, now_ms);
+                self.watch.record_advert(&advert, now_ms);
             }
-            RouterMessage::LoadReport(report) => self.collector.note_report(report, now_ms),
-            RouterMessage::ZoneLoads(zone) => self.collector.note_zone(zone, now_ms),
+            RouterMessage::LoadReport(report) => self.collector.record_report(report, now_ms),
+            RouterMessage::ZoneLoads(zone) => self.collector.record_zone(zone, now_ms),
             RouterMessage::LoadDigest(digest) => {
                 self.reporter
-                    .note_digest(([10, 0, 0, 1], 1).into(), &digest.loads, now_ms);
+                    .record_digest(([10, 0, 0, 1], 1).into(), &digest.loads, now_ms);
             }
             RouterMessage::Crashes { records, .. } | RouterMessage::CrashReports(records) => {
                 self.crashes.merge(&records, now_ms);
@@ -81,7 +81,7 @@
         let _age = self.watch.age_ms(now_ms);
         let _recovered = self.watch.recovered_ms();
         let _live = self.peers.live(now_ms);
-        self.peers.forget_lost(now_ms);
+        self.peers.remove_expired(now_ms);
     }
 }
 
--- a/crates/sapphiretrack-routing/tests/placement.rs
+++ b/crates/sapphiretrack-routing/tests/placement.rs
@@ -5,8 +5,8 @@
 use prompts::{advertised_prefix, request_with_prefixes};
 use sapphiretrack_routing::{
     Candidate, Distance, Incarnation, PlacementCosts, PrefixIndex, PromptPrefix, SentPrompts,
-    SentTokens, ServerHealth, ServerHealthSettings, choose_server, compared, fetch_source,
-    home_count, preferred_server,
+    SentTokens, ServerHealth, ServerHealthSettings, choose_server, fetch_source, home_count,
+    home_server, sample_candidates,
 };
 
 const PROMPT_TOKENS: u32 = 9_200;
@@ -144,8 +144,8 @@
             id: id * 104_729,
             tokens: 1,
         };
-        let before = preferred_server(&prefix, servers.iter().copied(), 1, 0.0);
-        let after = preferred_server(&prefix, servers.iter().copied().skip(1), 1, 0.0);
+        let before = home_server(&prefix, servers.iter().copied(), 1, 0.0);
+        let after = home_server(&prefix, servers.iter().copied().skip(1), 1, 0.0);
         if before != after {
             assert_eq!(before, Some(servers[0]));
             moved += 1;
@@ -165,18 +165,18 @@
     ];
     let server = Incarnation(5);
     let mut own = PrefixIndex::default();
-    own.note_sent(server, &request_with_prefixes(&prefixes), 0);
+    own.record_sent(server, &request_with_prefixes(&prefixes), 0);
     assert_eq!(own.cached_tokens(server, &prefixes, 1_000), 150);
     assert_eq!(own.cached_tokens(server, &prefixes, 31_000), 0);
     assert_eq!(own.cached_tokens(Incarnation(6), &prefixes, 0), 0);
     let mut other = PrefixIndex::default();
-    other.note_advertised(&own.take_pending(), 0);
+    other.record_advertised(&own.take_pending(), 0);
     assert_eq!(other.cached_tokens(server, &prefixes, 1_000), 150);
     assert_eq!(own.take_pending(), SentPrompts::default());
     // A server that holds the second prefix has read the first one, even if only the second is
     // advertised.
     let mut third = PrefixIndex::default();
-    third.note_advertised(&advertised_prefix(5, prefixes[1]), 0);
+    third.record_advertised(&advertised_prefix(5, prefixes[1]), 0);
     assert_eq!(third.cached_tokens(server, &prefixes, 1_000), 150);
 }
 
@@ -185,7 +185,7 @@
     let mut prefix_index = PrefixIndex::default();
     for id in 0..100_000 {
         let prefix = PromptPrefix { id, tokens: 1 };
-        prefix_index.note_sent(
+        prefix_index.record_sent(
             Incarnation(id % 7),
             &request_with_prefixes(&[prefix]),
             id / 10,
@@ -217,7 +217,7 @@
     for engine in 0..engines {
         for index in 0..250 {
             let prompt = request_with_prefixes(&[prefix_of(engine, index)]);
-            prefix_index.note_sent(Incarnation(engine), &prompt, 1_000);
+            prefix_index.record_sent(Incarnation(engine), &prompt, 1_000);
         }
     }
     let all_prefixes = (0..engines).flat_map(|engine| (0..250).map(move |index| (engine, index)));
@@ -232,26 +232,26 @@
 fn server_health_reflects_silence_failed_connections_and_failed_attempts() {
     let settings = ServerHealthSettings::default();
     let mut health = ServerHealth::default();
-    health.note_sent(0);
+    health.record_sent(0);
     assert!(!health.is_unresponsive(&settings, settings.mute_ms));
     assert!(health.is_unresponsive(&settings, settings.mute_ms + 1));
-    health.note_progress(1_000);
+    health.record_progress(1_000);
     assert!(!health.is_unresponsive(&settings, 1_100));
-    health.note_left();
+    health.record_finished();
     assert!(
         !health.is_unresponsive(&settings, 60_000),
         "no request is waiting for an answer"
     );
-    health.note_unreachable(&settings, 2_000);
+    health.record_unreachable(&settings, 2_000);
     assert!(health.is_unreachable(2_000 + settings.unreachable_ms - 1));
     assert!(!health.is_unreachable(2_000 + settings.unreachable_ms));
-    health.note_unreachable(&settings, 3_000);
+    health.record_unreachable(&settings, 3_000);
     assert!(
         health.is_unreachable(3_000 + 2 * settings.unreachable_ms - 1),
         "twice as long after the second failure"
     );
     for _ in 0..10 {
-        health.note_outcome(&settings, true, 4_000);
+        health.record_outcome(&settings, true, 4_000);
     }
     assert!(health.failure_share(&settings, 4_000) > 0.7);
     assert!(
@@ -279,7 +279,7 @@
             tokens: 100,
             requests: 5,
         });
-        prefix_index.note_advertised(&sent, step * 50);
+        prefix_index.record_advertised(&sent, step * 50);
     }
     let share = prefix_index.share_of_sends(prefix.id, 4_000);
     assert!(
@@ -298,7 +298,7 @@
     let mut sent = std::collections::BTreeMap::new();
     for step in 0..HOT_PER_S {
         let draw = f64::from(step) / f64::from(HOT_PER_S);
-        let home = preferred_server(&prefix, servers(), homes, draw);
+        let home = home_server(&prefix, servers(), homes, draw);
         let candidates: Vec<Candidate> = servers()
             .map(|server| Candidate {
                 server,
@@ -380,7 +380,7 @@
         })
         .collect();
     for _ in 0..600 {
-        let compared_indices = compared(&candidates, &mut draw);
+        let compared_indices = sample_candidates(&candidates, &mut draw);
         let chosen = choose_server(&costs, true, 300, &candidates, &compared_indices)
             .expect("a server is available");
         load[chosen] += 1;
@@ -406,7 +406,7 @@
 #[test]
 fn all_servers_of_a_small_pool_are_compared() {
     let candidates: Vec<Candidate> = (0..12).map(candidate).collect();
-    assert_eq!(compared(&candidates, || 0.0).len(), 12);
+    assert_eq!(sample_candidates(&candidates, || 0.0).len(), 12);
     let many: Vec<Candidate> = (0..60)
         .map(|id| Candidate {
             is_home: id == 5,
@@ -414,7 +414,7 @@
             ..candidate(id)
         })
         .collect();
-    let compared_indices = compared(&many, || 0.5);
+    let compared_indices = sample_candidates(&many, || 0.5);
     assert_eq!(
         compared_indices,
         [30, 30, 30, 5, 9],
@@ -458,7 +458,7 @@
             ..candidate(index as u64)
         });
         let candidates: Vec<Candidate> = candidates.collect();
-        let compared_indices = compared(&candidates, &mut draw);
+        let compared_indices = sample_candidates(&candidates, &mut draw);
         let costs = PlacementCosts::default();
         let chosen = choose_server(&costs, true, PROMPT_TOKENS, &candidates, &compared_indices);
         requests_at[chosen.expect("all servers have capacity")] += 1;
--- a/crates/sapphiretrack-routing/tests/prefix_recovery.rs
+++ b/crates/sapphiretrack-routing/tests/prefix_recovery.rs
@@ -7,7 +7,8 @@
 
 use prompts::request_with_prefixes;
 use sapphiretrack_routing::{
-    Incarnation, PrefixIndex, PrefixRecovery, PrefixServing, PrefixStep, PromptPrefix, SentPrompts,
+    Incarnation, PrefixIndex, PrefixRecovery, PrefixReplyLimiter, PrefixStep, PromptPrefix,
+    SentPrompts,
 };
 
 fn router(port: u16) -> SocketAddr {
@@ -44,7 +45,7 @@
     let mut recovery = PrefixRecovery::new(false, 1_000);
     assert!(!recovery.knows(2_000));
     assert!(recovery.knows(40_000), "older prefixes have expired");
-    recovery.note_advertised();
+    recovery.record_advertised();
     assert!(recovery.knows(2_000));
     assert_eq!(
         recovery.next_step(&[router(1)], 0, 0.5, 2_000),
@@ -61,7 +62,7 @@
     let mut old = PrefixIndex::default();
     let prefix = |id| PromptPrefix { id, tokens: 100 };
     for id in 0..500 {
-        old.note_sent(
+        old.record_sent(
             Incarnation(id % 3),
             &request_with_prefixes(&[prefix(id)]),
             1_000 + id,
@@ -74,7 +75,7 @@
         prefixes: newest_sent,
         ..SentPrompts::default()
     };
-    new.note_advertised(&newest_sent, 2_000);
+    new.record_advertised(&newest_sent, 2_000);
     assert_eq!(
         new.cached_tokens(Incarnation(499 % 3), &[prefix(499)], 2_000),
         100
@@ -88,7 +89,7 @@
     use rand::{RngExt, SeedableRng};
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(3);
     let routers = 295;
-    let mut serving = vec![PrefixServing::default(); routers];
+    let mut serving = vec![PrefixReplyLimiter::default(); routers];
     let mut knows = vec![false; routers];
     knows[0] = true;
     let mut max_served = 0;
@@ -98,7 +99,7 @@
         let askers = (0..routers).filter(|index| !knows[*index]);
         let informed = askers.filter(|_| {
             let source = sources[random.random_range(0..sources.len())];
-            let is_served = serving[source].may_serve(round * 250);
+            let is_served = serving[source].try_serve(round * 250);
             served[source] += u32::from(is_served);
             is_served
         });
--- a/crates/sapphiretrack-routing/tests/retry_share.rs
+++ b/crates/sapphiretrack-routing/tests/retry_share.rs
@@ -24,9 +24,9 @@
             now_ms += pause_ms;
             let share = &mut shares[router % routers];
             if kind == 0 {
-                share.note_request("s", now_ms);
+                share.record_request("s", now_ms);
                 requests.push(now_ms);
-            } else if share.try_repeat("s", routers, now_ms) {
+            } else if share.try_retry("s", routers, now_ms) {
                 repeats.push(now_ms);
             }
         }
@@ -51,15 +51,15 @@
 fn a_service_that_fails_as_a_whole_gets_no_retries() {
     let mut share = RetryShare::new(SETTINGS);
     for _ in 0..30 {
-        share.note_request("s", 1_000);
-        share.note_end("s", false, 1_000);
+        share.record_request("s", 1_000);
+        share.record_end("s", false, 1_000);
     }
-    assert!(!share.try_repeat("s", 1, 1_000));
-    assert!(share.try_repeat("other", 1, 1_000));
+    assert!(!share.try_retry("s", 1, 1_000));
+    assert!(share.try_retry("other", 1, 1_000));
     for _ in 0..40 {
-        share.note_end("s", true, 1_000);
+        share.record_end("s", true, 1_000);
     }
-    assert!(share.try_repeat("s", 1, 1_000));
+    assert!(share.try_retry("s", 1, 1_000));
 }
 
 #[test]
@@ -69,10 +69,10 @@
         fixed: 4.0,
         ..SETTINGS
     });
-    assert!(share.try_repeat("s", 1, 0));
-    assert!(share.try_repeat("s", 1, 0));
-    assert!(!share.try_repeat("s", 1, 9_000));
-    assert!(share.try_repeat("s", 1, 10_500));
+    assert!(share.try_retry("s", 1, 0));
+    assert!(share.try_retry("s", 1, 0));
+    assert!(!share.try_retry("s", 1, 9_000));
+    assert!(share.try_retry("s", 1, 10_500));
 }
 
 /// Guards against second attempts that take the place of first ones at a service without free
@@ -81,14 +81,14 @@
 fn a_full_service_gets_no_second_attempts_until_it_had_capacity_for_a_while() {
     let mut share = RetryShare::new(SETTINGS);
     assert!(!share.is_full("s", 100_000));
-    assert!(share.note_full("s", 100_000), "it was not full before");
+    assert!(share.record_full("s", 100_000), "it was not full before");
     assert!(share.is_full("s", 100_999));
     assert!(
         !share.is_full("other", 100_500),
         "another service has capacity"
     );
     assert!(
-        !share.note_full("s", 100_900),
+        !share.record_full("s", 100_900),
         "reported once while it lasts"
     );
     assert!(
@@ -100,6 +100,6 @@
         full_ms: 0,
         ..SETTINGS
     });
-    assert!(!never.note_full("s", 100_000));
+    assert!(!never.record_full("s", 100_000));
     assert!(!never.is_full("s", 100_000));
 }
--- a/crates/sapphiretrack-routing/tests/server_list.rs
+++ b/crates/sapphiretrack-routing/tests/server_list.rs
@@ -48,18 +48,18 @@
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Ready));
     list.upsert(entry("b", 1, ServerState::Ready));
-    list.note_store_back(10_000);
+    list.record_store_recovery(10_000);
     assert!(!list.remove("a", 10_100));
     assert!(
         list.replace(vec![entry("b", 1, ServerState::Ready)], 10_200)
             .is_empty()
     );
     assert_eq!(listed(&list), ["a", "b"]);
-    assert!(list.is_settling());
-    assert!(list.settle(11_000).is_empty());
-    assert_eq!(list.settle(12_300), [Arc::from("a")]);
+    assert!(list.has_missing_entries());
+    assert!(list.drop_missing(11_000).is_empty());
+    assert_eq!(list.drop_missing(12_300), [Arc::from("a")]);
     assert_eq!(listed(&list), ["b"]);
-    assert!(!list.is_settling());
+    assert!(!list.has_missing_entries());
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Ready));
     list.upsert(entry("b", 1, ServerState::Ready));
-    list.note_store_back(10_000);
+    list.record_store_recovery(10_000);
     list.remove("a", 10_100);
     assert_eq!(listed(&list), ["a", "b"], "it may still come back");
     let present: Vec<_> = list.present().iter().map(|one| one.id.clone()).collect();
@@ -78,10 +78,10 @@
 fn an_entry_that_came_back_stays() {
     let mut list = ServerList::default();
     list.upsert(entry("a", 1, ServerState::Ready));
-    list.note_store_back(10_000);
+    list.record_store_recovery(10_000);
     list.remove("a", 10_100);
     list.upsert(entry("a", 1, ServerState::Ready));
-    assert!(list.settle(20_000).is_empty());
+    assert!(list.drop_missing(20_000).is_empty());
     assert_eq!(listed(&list), ["a"]);
 }
 
@@ -103,14 +103,14 @@
     for list in &mut lists {
         list.upsert(entry("a", 1, ServerState::Ready));
     }
-    lists[0].note_store_back(10_000);
+    lists[0].record_store_recovery(10_000);
     let mut dropped_ms = [None; 3];
     for now_ms in (10_000..20_000).step_by(50) {
         for (index, list) in lists.iter_mut().enumerate() {
             // Routers keep advertising the time of the recovery.
-            list.note_peer_recovery(10_000);
+            list.record_peer_recovery(10_000);
             list.remove("a", now_ms);
-            list.settle(now_ms);
+            list.drop_missing(now_ms);
             if list.is_empty() {
                 dropped_ms[index].get_or_insert(now_ms);
             }
@@ -146,8 +146,8 @@
                     }
                 }
                 2 => { list.remove("a", now_ms); }
-                3 => list.note_store_back(now_ms),
-                _ => { list.settle(now_ms); }
+                3 => list.record_store_recovery(now_ms),
+                _ => { list.drop_missing(now_ms); }
             }
             let services = list.by_service();
             for server in services.values().flatten() {
--- a/crates/sapphiretrack-routing/tests/server_memory.rs
+++ b/crates/sapphiretrack-routing/tests/server_memory.rs
@@ -35,7 +35,7 @@
 fn only_the_most_recently_used_prefixes_count_as_held() {
     let mut index = index_with(WarmSettings::default());
     for id in 0..30 {
-        index.note_sent(
+        index.record_sent(
             ENGINE,
             &request_with_prefixes(&[prefix(id)]),
             10_000 + id * 300,
@@ -54,7 +54,7 @@
         ..WarmSettings::default()
     });
     for id in 0..30 {
-        unbounded.note_sent(
+        unbounded.record_sent(
             ENGINE,
             &request_with_prefixes(&[prefix(id)]),
             10_000 + id * 300,
@@ -71,11 +71,11 @@
 #[test]
 fn private_prompts_evict_prefixes_that_are_not_used() {
     let mut index = index_with(WarmSettings::default());
-    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(1)]), 10_000);
-    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(2)]), 10_000);
+    index.record_sent(ENGINE, &request_with_prefixes(&[prefix(1)]), 10_000);
+    index.record_sent(ENGINE, &request_with_prefixes(&[prefix(2)]), 10_000);
     for step in 0..40 {
         let now_ms = 10_300 + step * 300;
-        index.note_sent(
+        index.record_sent(
             ENGINE,
             &request_with_private_tokens(&[prefix(2)], 5_000),
             now_ms,
@@ -90,12 +90,12 @@
     let mut index_b = index_with(WarmSettings::default());
     for id in 0..30 {
         let now_ms = 10_000 + id * 300;
-        index_a.note_sent(
+        index_a.record_sent(
             ENGINE,
             &request_with_private_tokens(&[prefix(id)], 2_000),
             now_ms,
         );
-        index_b.note_advertised(&index_a.take_pending(), now_ms);
+        index_b.record_advertised(&index_a.take_pending(), now_ms);
     }
     let now_ms = 10_000 + 30 * 300;
     assert_eq!(held(&index_a, 0..30, now_ms), held(&index_b, 0..30, now_ms));
@@ -106,7 +106,7 @@
 fn a_changed_memory_size_takes_effect_at_once() {
     let mut index = index_with(WarmSettings::default());
     for id in 0..9 {
-        index.note_sent(
+        index.record_sent(
             ENGINE,
             &request_with_prefixes(&[prefix(id)]),
             10_000 + id * 300,
@@ -122,9 +122,9 @@
 fn after_a_long_pause_only_new_prefixes_count() {
     let mut index = index_with(WarmSettings::default());
     for id in 0..30 {
-        index.note_sent(ENGINE, &request_with_prefixes(&[prefix(id)]), id * 300);
+        index.record_sent(ENGINE, &request_with_prefixes(&[prefix(id)]), id * 300);
     }
-    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(100)]), 1_000_000);
+    index.record_sent(ENGINE, &request_with_prefixes(&[prefix(100)]), 1_000_000);
     assert_eq!(held(&index, 0..101, 1_000_000), [100]);
 }
 
@@ -134,8 +134,8 @@
     let mut index = PrefixIndex::default();
     for id in 0..1_000 {
         let request = request_with_private_tokens(&[prefix(id)], 100);
-        index.note_sent(Incarnation(id), &request, 10_000);
-        index.note_sent(Incarnation(id), &request, 10_000);
+        index.record_sent(Incarnation(id), &request, 10_000);
+        index.record_sent(Incarnation(id), &request, 10_000);
     }
     let pending = index.take_pending();
     assert!(
@@ -158,7 +158,7 @@
 #[test]
 fn removed_servers_are_forgotten_after_a_delay() {
     let mut index = index_with(WarmSettings::default());
-    index.note_sent(ENGINE, &request_with_prefixes(&[prefix(1)]), 10_000);
+    index.record_sent(ENGINE, &request_with_prefixes(&[prefix(1)]), 10_000);
     index.set_capacities(HashMap::new(), 12_000);
     assert_eq!(held(&index, 1..2, 12_000), [1], "its entry may come back");
     index.set_capacities(HashMap::new(), 50_000);
--- a/crates/sapphiretrack-routing/tests/stop.rs
+++ b/crates/sapphiretrack-routing/tests/stop.rs
@@ -13,14 +13,14 @@
         StopPhase::Serving,
         "callers still hold the address"
     );
-    assert_eq!(TIMES.phase(2_600, 3, 0), StopPhase::Finishing);
-    assert_eq!(TIMES.phase(3_100, 0, 3_100), StopPhase::Over);
+    assert_eq!(TIMES.phase(2_600, 3, 0), StopPhase::Draining);
+    assert_eq!(TIMES.phase(3_100, 0, 3_100), StopPhase::Finished);
     assert_eq!(
         TIMES.phase(7_000, 1, 0),
-        StopPhase::Finishing,
+        StopPhase::Draining,
         "a long request continues"
     );
-    assert_eq!(TIMES.phase(7_700, 1, 0), StopPhase::Over);
+    assert_eq!(TIMES.phase(7_700, 1, 0), StopPhase::Finished);
 }
 
 proptest! {
@@ -30,7 +30,7 @@
     ) {
         let times = StopTimes { grace_ms };
         let since_ms = grace_ms / 6 * sixths;
-        prop_assert_ne!(times.phase(since_ms, in_flight, quiet_ms), StopPhase::Over);
-        prop_assert_eq!(times.phase(grace_ms, in_flight, quiet_ms), StopPhase::Over);
+        prop_assert_ne!(times.phase(since_ms, in_flight, quiet_ms), StopPhase::Finished);
+        prop_assert_eq!(times.phase(grace_ms, in_flight, quiet_ms), StopPhase::Finished);
     }
 }
--- a/crates/sapphiretrack-routing/tests/watch_state.rs
+++ b/crates/sapphiretrack-routing/tests/watch_state.rs
@@ -52,13 +52,13 @@
                 0 => store.changes.push((store.version() + 3, store_ms, selector % 2 == 0)),
                 1 => {
                     let answer = store.answer(&routers[router], local_ms, store_ms);
-                    routers[router].note_answer(&answer);
+                    routers[router].record_answer(&answer);
                 }
                 2 | 3 => adverts.push(routers[router].advert()),
                 _ if adverts.is_empty() => {}
                 _ => {
                     let advert = adverts[selector % adverts.len()];
-                    routers[router].note_advert(&advert, local_ms);
+                    routers[router].record_advert(&advert, local_ms);
                 }
             }
             for (state, offset) in routers.iter().zip(offsets) {
@@ -93,9 +93,9 @@
         changed_version: Some(7),
         store_now_ms: 1_000,
     };
-    watcher.note_answer(&answer);
-    other.note_answer(&answer);
-    watcher.note_answer(&WatchAnswer {
+    watcher.record_answer(&answer);
+    other.record_answer(&answer);
+    watcher.record_answer(&WatchAnswer {
         may_hide_removals: false,
         sent_ms: 110,
         received_ms: 1_114,
@@ -103,9 +103,9 @@
         changed_version: None,
         store_now_ms: 2_010,
     });
-    assert!(!other.note_advert(&watcher.advert(), 1_120));
+    assert!(!other.record_advert(&watcher.advert(), 1_120));
     assert!(other.age_ms(1_120).expect("known") < 20);
-    watcher.note_answer(&WatchAnswer {
+    watcher.record_answer(&WatchAnswer {
         may_hide_removals: false,
         sent_ms: 1_120,
         received_ms: 1_500,
@@ -113,7 +113,7 @@
         changed_version: Some(13),
         store_now_ms: 2_400,
     });
-    assert!(other.note_advert(&watcher.advert(), 1_510));
+    assert!(other.record_advert(&watcher.advert(), 1_510));
     assert!(other.is_behind());
     assert!(
         other.age_ms(1_510).expect("known") > 380,
@@ -126,15 +126,15 @@
     let mut watcher = WatchState::default();
     let mut follower = WatchState::default();
     for state in [&mut watcher, &mut follower] {
-        state.note_clock(1_000, 1_004, 51_002);
+        state.record_clock(1_000, 1_004, 51_002);
         assert_eq!(state.recovered_ms(), None);
     }
-    watcher.note_recovery(52_002);
+    watcher.record_recovery(52_002);
     // They keep advertising it to each other, also long afterwards.
     for local_ms in (2_000..9_000).step_by(250) {
         let (one, other) = (watcher.advert(), follower.advert());
-        follower.note_advert(&one, local_ms);
-        watcher.note_advert(&other, local_ms);
+        follower.record_advert(&one, local_ms);
+        watcher.record_advert(&other, local_ms);
         assert_eq!(follower.recovered_ms(), Some(2_000));
         assert_eq!(watcher.recovered_ms(), Some(2_000));
     }
@@ -152,15 +152,15 @@
     };
     let mut watcher = WatchState::default();
     let mut follower = WatchState::default();
-    watcher.note_answer(&answer(10, Some(10)));
-    follower.note_answer(&answer(10, Some(10)));
+    watcher.record_answer(&answer(10, Some(10)));
+    follower.record_answer(&answer(10, Some(10)));
     // Rows of other tables raise the store's version; the watcher's empty answer shows it.
-    watcher.note_answer(&answer(40, None));
+    watcher.record_answer(&answer(40, None));
     let after = watcher.changed_version();
-    watcher.note_answer(&answer(41, Some(41)));
-    assert!(follower.note_advert(&watcher.advert(), 200));
+    watcher.record_answer(&answer(41, Some(41)));
+    assert!(follower.record_advert(&watcher.advert(), 200));
     assert!(
-        follower.note_changes(after, 41, 1_000),
+        follower.record_changes(after, 41, 1_000),
         "nothing is missing"
     );
     assert!(!follower.is_behind());
@@ -169,7 +169,7 @@
 #[test]
 fn a_listing_of_another_router_carries_the_proof_of_that_router() {
     let mut holder = WatchState::default();
-    holder.note_answer(&WatchAnswer {
+    holder.record_answer(&WatchAnswer {
         may_hide_removals: true,
         sent_ms: 100,
         received_ms: 104,
@@ -179,26 +179,26 @@
     });
     let mut starting = WatchState::default();
     assert!(
-        starting.note_advert(&holder.advert(), 900),
+        starting.record_advert(&holder.advert(), 900),
         "the starting router lacks the listing"
     );
-    starting.note_clock(850, 854, 50_852);
-    assert!(starting.note_snapshot(10, &holder.advert(), 1_000));
+    starting.record_clock(850, 854, 50_852);
+    assert!(starting.record_snapshot(10, &holder.advert(), 1_000));
     let age_ms = starting.age_ms(1_000).expect("proven");
     assert!(
         (896..=902).contains(&age_ms),
         "the age of the holder's call: {age_ms} ms"
     );
     assert!(
-        !starting.note_snapshot(9, &holder.advert(), 1_000),
+        !starting.record_snapshot(9, &holder.advert(), 1_000),
         "the listing is older"
     );
     assert!(!starting.is_behind());
     // The listing may arrive before the store's clock is known.
     let mut early = WatchState::default();
-    assert!(early.note_snapshot(10, &holder.advert(), 1_000));
+    assert!(early.record_snapshot(10, &holder.advert(), 1_000));
     assert_eq!(early.age_ms(1_000), None);
-    early.note_clock(1_010, 1_014, 51_012);
+    early.record_clock(1_010, 1_014, 51_012);
     let age_ms = early.age_ms(1_014).expect("proven");
     assert!(
         (908..=916).contains(&age_ms),
@@ -210,10 +210,10 @@
 fn forwarded_changes_are_accepted_once_and_without_gaps() {
     let mut state = WatchState::default();
     assert!(
-        !state.note_changes(0, 5, 1_000),
+        !state.record_changes(0, 5, 1_000),
         "the listing itself is not known yet"
     );
-    state.note_answer(&WatchAnswer {
+    state.record_answer(&WatchAnswer {
         may_hide_removals: true,
         sent_ms: 0,
         received_ms: 4,
@@ -225,21 +225,21 @@
         changed_version,
         ..ListingAdvert::default()
     };
-    assert!(state.note_advert(&advert(12), 10));
+    assert!(state.record_advert(&advert(12), 10));
     assert!(state.is_behind());
     assert!(
-        !state.note_changes(11, 12, 1_000),
+        !state.record_changes(11, 12, 1_000),
         "what came between 10 and 11 is missing"
     );
     assert!(state.is_behind());
-    assert!(state.note_changes(9, 12, 1_000));
+    assert!(state.record_changes(9, 12, 1_000));
     assert!(!state.is_behind(), "there is no need to ask the store");
     assert!(
-        !state.note_changes(9, 12, 1_000),
+        !state.record_changes(9, 12, 1_000),
         "the same changes are accepted only once"
     );
     assert!(
-        !state.note_changes(10, 11, 1_000),
+        !state.record_changes(10, 11, 1_000),
         "older ones would undo newer ones"
     );
 }
@@ -255,11 +255,11 @@
         store_now_ms,
     };
     let mut with_peers = WatchState::default();
-    with_peers.note_answer(&answer(1_000, 51_002));
+    with_peers.record_answer(&answer(1_000, 51_002));
     let mut without_peers = with_peers.clone();
-    assert!(with_peers.note_failure(2_000));
-    assert!(!with_peers.note_failure(3_000), "reported once");
-    without_peers.note_failure(2_000);
+    assert!(with_peers.record_failure(2_000));
+    assert!(!with_peers.record_failure(3_000), "reported once");
+    without_peers.record_failure(2_000);
     // Another router keeps reaching the store and advertises its proofs.
     for local_ms in (3_000..8_000).step_by(250) {
         let advert = ListingAdvert {
@@ -267,13 +267,13 @@
             proven_store_ms: Some(local_ms + 50_000 - 20),
             recovered_store_ms: None,
         };
-        assert!(!with_peers.note_advert(&advert, local_ms));
+        assert!(!with_peers.record_advert(&advert, local_ms));
     }
-    let outage_ms = with_peers.note_answer(&answer(8_000, 58_002));
+    let outage_ms = with_peers.record_answer(&answer(8_000, 58_002));
     assert_eq!(outage_ms, 0);
-    assert!(without_peers.note_answer(&answer(8_000, 58_002)) > 5_900);
+    assert!(without_peers.record_answer(&answer(8_000, 58_002)) > 5_900);
     assert_eq!(
-        without_peers.note_answer(&answer(9_000, 59_002)),
+        without_peers.record_answer(&answer(9_000, 59_002)),
         0,
         "the outage is over"
     );
@@ -283,7 +283,7 @@
 /// advert of a newer version.
 fn behind_router() -> (WatchState, ListingAdvert) {
     let mut state = WatchState::default();
-    state.note_answer(&WatchAnswer {
+    state.record_answer(&WatchAnswer {
         may_hide_removals: false,
         sent_ms: 1_000,
         received_ms: 1_004,
@@ -304,7 +304,7 @@
 fn an_outdated_version_is_used_only_within_the_bound() {
     let (mut state, newer) = behind_router();
     assert!(state.is_usable(9_000, 2_000), "nothing newer is known");
-    state.note_advert(&newer, 1_600);
+    state.record_advert(&newer, 1_600);
     let proven_ms = 1_600 - state.age_ms(1_600).expect("proven");
     assert!(state.is_usable(proven_ms + 1_999, 2_000));
     assert!(!state.is_usable(proven_ms + 2_000, 2_000));
@@ -314,12 +314,12 @@
         proven_store_ms: Some(51_700),
         ..newer
     };
-    state.note_advert(&later, 2_700);
+    state.record_advert(&later, 2_700);
     assert!(!state.is_usable(proven_ms + 2_000, 2_000));
     // The first of the two versions is not the newest.
-    state.note_snapshot(13, &newer, 3_000);
+    state.record_snapshot(13, &newer, 3_000);
     assert!(state.is_behind());
-    state.note_snapshot(16, &later, 3_100);
+    state.record_snapshot(16, &later, 3_100);
     assert!(state.is_usable(9_000, 2_000));
 }
 
@@ -328,11 +328,11 @@
 #[test]
 fn a_router_that_learns_of_a_change_after_an_outage_has_time_to_read_it() {
     let (mut state, newer) = behind_router();
-    state.note_advert(&newer, 9_000);
+    state.record_advert(&newer, 9_000);
     assert!(state.age_ms(9_000).expect("proven") > 2_000);
     assert!(state.is_usable(9_400, 2_000));
     for now_ms in [9_100, 9_200, 9_400] {
-        state.note_advert(&newer, now_ms);
+        state.record_advert(&newer, now_ms);
     }
     assert!(
         !state.is_usable(9_500, 2_000),
@@ -346,6 +346,6 @@
 fn a_router_that_forgot_its_version_still_knows_that_it_is_behind() {
     let (mut state, newer) = behind_router();
     state.forget_version();
-    state.note_advert(&newer, 1_600);
+    state.record_advert(&newer, 1_600);
     assert!(!state.is_usable(9_000, 2_000));
 }
