--- a/crates/sapphiretrack-core/src/budget.rs
+++ b/crates/sapphiretrack-core/src/budget.rs
@@ -1,9 +1,9 @@
-//! A customer's budget at its steward: who holds how much of it, and what may still be leased.
+//! A customer's budget at its steward: how much each router holds and how much can be leased.
 //!
-//! The steward keeps one token bucket for each rate. A router takes from it what a request needs
-//! at once, and besides a chunk ahead for the next ones. All chunks ahead together are at most
-//! [`HELD_SHARE`] of a burst, and the bucket is smaller by as much: so all routers together admit
-//! no more than one limiter with the whole burst would, however many they are.
+//! The steward keeps one token bucket for each rate. A router takes from it what a waiting request
+//! needs and leases an amount in advance for its next requests. All advance leases together are at
+//! most [`HELD_SHARE`] of a burst, and the bucket's burst is smaller by the same amount. So any
+//! number of routers together admits no more than a single limiter with the full burst.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +11,19 @@
 
 use crate::{Limits, RateLimiter, RouterId};
 
-/// The part of a burst that routers may hold in chunks ahead.
+/// Fraction of a burst that all routers together may hold in advance.
 pub const HELD_SHARE: f64 = 0.2;
-/// The part of a budget that a steward starts with while it may not know what others hold; one
-/// request at least.
+/// Fraction of a budget that a new steward starts with while it may not know all holders; at least
+/// one request.
 pub const UNSURE_SHARE: f64 = 0.125;
-/// How long a lease lasts after the steward saw its holder.
+/// Lease duration, counted from the last request that the steward received from the holder.
 pub const BUDGET_LEASE_MS: u64 = 1_500;
-/// The least time after which a refused caller is told to come back.
+/// Minimum retry delay for refused callers.
 const MIN_RETRY_MS: u64 = 20;
-/// When to come back for a place among the requests in flight.
+/// Retry delay for callers refused by the in-flight limit.
 const SLOT_RETRY_MS: u64 = 200;
 
-/// Requests and tokens.
+/// An amount of requests and tokens.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Amounts {
     /// Requests.
@@ -32,78 +32,78 @@
     pub tokens: f64,
 }
 
-/// A router's question to a customer's steward.
+/// A router's request to the steward of a customer's budget.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BudgetAsk {
-    /// Who asks.
+    /// The requesting router.
     pub router: RouterId,
-    /// For which customer.
+    /// The customer's name.
     pub customer: String,
-    /// Rises with each question of a router about a customer.
+    /// Increases with each request of a router for a customer.
     pub sequence: u64,
-    /// What the router holds unspent; below zero for what it used beyond that.
+    /// Unspent amounts that the router holds; negative if it used more than it held.
     pub held: Amounts,
-    /// What it gives back.
+    /// Unused amounts that the router returns.
     pub returned: Amounts,
-    /// The tokens of a request that waits for the answer; none if no request does.
+    /// Tokens of the caller's request that waits for the reply; `None` if none waits.
     pub need_tokens: Option<f64>,
-    /// What it would like to hold ahead.
+    /// Amounts that the router wants to lease in advance.
     pub ahead: Amounts,
-    /// Its requests in flight, without the one that waits.
+    /// The router's requests in flight, without the waiting one.
     pub in_flight: u32,
-    /// Places in flight that it would like to hold ahead.
+    /// In-flight slots that the router wants to lease in advance.
     pub slots_ahead: u32,
 }
 
-/// The steward's answer.
+/// The steward's reply.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum BudgetReply {
-    /// It keeps the customer's budget.
+    /// The router is the steward and grants or refuses.
     Answered(BudgetGrant),
-    /// It does not believe that it is this customer's steward.
+    /// The router does not consider itself the customer's steward.
     NotSteward,
 }
 
-/// What a steward leases.
+/// Amounts and slots that a steward leases to a router.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BudgetGrant {
-    /// What came of the request that waits; it has then spent its need already.
+    /// Decision about the waiting request; if admitted, its amounts are already charged.
     pub need: Needed,
-    /// Is added to what the router holds.
+    /// Amounts to add to what the router holds.
     pub added: Amounts,
-    /// The places in flight that the router holds, those in use included.
+    /// In-flight slots that the router holds, including those in use.
     pub slots: u32,
 }
 
-/// What came of a request that waits for the steward.
+/// A steward's decision about a waiting request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Needed {
-    /// No request waits.
+    /// No request was waiting.
     Nothing,
-    /// It may run.
+    /// The request may run.
     Admitted,
-    /// A rate is used up.
+    /// The request or token rate is used up.
     RateUsedUp {
-        /// When to come back.
+        /// Delay before the next try.
         retry_after_ms: u64,
         /// Whether a request of any size would be refused.
         any_size: bool,
     },
-    /// No place in flight is free.
+    /// No in-flight slot is free.
     SlotsUsedUp {
-        /// When to come back.
+        /// Delay before the next try.
         retry_after_ms: u64,
     },
 }
 
-/// One customer's budget.
+/// One customer's budget at its steward.
 #[derive(Clone, Debug)]
 pub struct CustomerBudget {
     requests: RateLimiter,
     tokens: RateLimiter,
     holders: BTreeMap<RouterId, Holder>,
-    /// Until then other routers may hold places that this steward has not seen.
-    unsure_until_ms: u64,
+    /// Until this time routers unknown to this steward may hold in-flight slots.
+    holders_unknown_until_ms: u64,
 }
 
 /// What one router holds.
@@ -117,58 +117,61 @@
 }
 
 impl CustomerBudget {
-    /// The budget at a steward that knows of all holders, or else is unsure for one lease.
+    /// Creates a customer's budget at a new steward.
+    ///
+    /// If the steward does not know all holders, it grants only a part until earlier leases have
+    /// expired.
     pub fn new(limits: &Limits, knows_holders: bool, now_ms: u64) -> Self {
         let burst_s = limits.burst_s * (1.0 - HELD_SHARE);
         let mut requests = RateLimiter::new(limits.requests_per_s, burst_s, now_ms);
         let mut tokens = RateLimiter::new(limits.tokens_per_s, burst_s, now_ms);
-        let mut unsure_until_ms = 0;
+        let mut holders_unknown_until_ms = 0;
         if !knows_holders {
             requests.scale_level(UNSURE_SHARE);
             tokens.scale_level(UNSURE_SHARE);
-            unsure_until_ms = now_ms + BUDGET_LEASE_MS;
+            holders_unknown_until_ms = now_ms + BUDGET_LEASE_MS;
         }
         Self {
             requests,
             tokens,
             holders: BTreeMap::new(),
-            unsure_until_ms,
+            holders_unknown_until_ms,
         }
     }
 
-    /// Answers a router.
+    /// Answers a router's request.
     ///
-    /// `share` is the part of the contract that this steward may give out: below 1 while routers
-    /// that may have another steward are not seen.
+    /// `share` is the fraction of the contract that this steward may grant. It is below 1 while
+    /// routers that may use another steward are unreachable.
     pub fn answer(
         &mut self,
-        ask: &BudgetAsk,
+        request: &BudgetAsk,
         limits: &Limits,
         share: f64,
         now_ms: u64,
     ) -> BudgetGrant {
         self.expire(now_ms);
         self.set_limits(limits, share, now_ms);
-        if !self.note_ask(ask, now_ms) {
+        if !self.record_holder(request, now_ms) {
             return BudgetGrant {
                 need: Needed::SlotsUsedUp {
                     retry_after_ms: MIN_RETRY_MS,
                 },
                 added: Amounts::default(),
-                slots: ask.in_flight,
+                slots: request.in_flight,
             };
         }
-        let mut added = self.take_debt(ask, now_ms);
-        let free_slots = self.free_slots(ask, limits, share, now_ms);
-        let need = self.need(ask, free_slots, now_ms);
+        let mut added = self.charge_debt(request, now_ms);
+        let free_slots = self.free_slots(request, limits, share, now_ms);
+        let need = self.decide_need(request, free_slots, now_ms);
         let admitted = u32::from(need == Needed::Admitted);
-        // Half of what is free stays for the others.
-        let slots_ahead = ask.slots_ahead.min((free_slots - admitted) / 2);
-        let slots = ask.in_flight + admitted + slots_ahead;
-        let ahead = self.lease_ahead(ask, limits, share, now_ms);
+        // Leaves half of the free slots to other routers.
+        let slots_ahead = request.slots_ahead.min((free_slots - admitted) / 2);
+        let slots = request.in_flight + admitted + slots_ahead;
+        let ahead = self.lease_in_advance(request, limits, share, now_ms);
         added.requests += ahead.requests;
         added.tokens += ahead.tokens;
-        if let Some(holder) = self.holders.get_mut(&ask.router) {
+        if let Some(holder) = self.holders.get_mut(&request.router) {
             holder.slots = slots;
             holder.held.requests += ahead.requests;
             holder.held.tokens += ahead.tokens;
@@ -176,13 +179,13 @@
         BudgetGrant { need, added, slots }
     }
 
-    /// Whether no router holds anything, so that the budget need not be kept.
+    /// Whether no router holds anything and the buckets are full, so the budget can be dropped.
     pub fn is_idle(&mut self, now_ms: u64) -> bool {
         self.expire(now_ms);
         self.holders.is_empty() && self.requests.is_full(now_ms) && self.tokens.is_full(now_ms)
     }
 
-    /// Forgets routers that were not seen for a lease: they may not spend any more.
+    /// Removes routers whose lease has expired; they stopped spending it by then.
     fn expire(&mut self, now_ms: u64) {
         self.holders
             .retain(|_, holder| now_ms.saturating_sub(holder.seen_ms) < BUDGET_LEASE_MS);
@@ -196,56 +199,58 @@
             .set_rate(limits.tokens_per_s * share, burst_s, now_ms);
     }
 
-    /// Notes what a router holds; not if the question is older than one that was answered.
-    fn note_ask(&mut self, ask: &BudgetAsk, now_ms: u64) -> bool {
-        let known = self.holders.get(&ask.router).copied();
-        if known.is_some_and(|known| ask.sequence <= known.sequence) {
+    /// Records what a router holds; returns false if this or a newer request was already answered.
+    fn record_holder(&mut self, request: &BudgetAsk, now_ms: u64) -> bool {
+        let known = self.holders.get(&request.router).copied();
+        if known.is_some_and(|known| request.sequence <= known.sequence) {
             return false;
         }
         let before = known.map_or_else(Amounts::default, |known| known.held);
-        self.requests
-            .give_back(ask.returned.requests.clamp(0.0, before.requests), now_ms);
+        self.requests.give_back(
+            request.returned.requests.clamp(0.0, before.requests),
+            now_ms,
+        );
         self.tokens
-            .give_back(ask.returned.tokens.clamp(0.0, before.tokens), now_ms);
+            .give_back(request.returned.tokens.clamp(0.0, before.tokens), now_ms);
         let holder = Holder {
             held: Amounts {
-                requests: ask.held.requests.max(0.0),
-                tokens: ask.held.tokens.max(0.0),
+                requests: request.held.requests.max(0.0),
+                tokens: request.held.tokens.max(0.0),
             },
-            slots: ask.in_flight,
-            first_in_flight: known.map_or(ask.in_flight, |known| known.first_in_flight),
-            sequence: ask.sequence,
+            slots: request.in_flight,
+            first_in_flight: known.map_or(request.in_flight, |known| known.first_in_flight),
+            sequence: request.sequence,
             seen_ms: now_ms,
         };
-        self.holders.insert(ask.router, holder);
+        self.holders.insert(request.router, holder);
         true
     }
 
-    /// Takes over what a router used beyond what it held.
-    fn take_debt(&mut self, ask: &BudgetAsk, now_ms: u64) -> Amounts {
+    /// Charges the buckets with what a router used beyond what it held.
+    fn charge_debt(&mut self, request: &BudgetAsk, now_ms: u64) -> Amounts {
         let debt = Amounts {
-            requests: (-ask.held.requests).max(0.0),
-            tokens: (-ask.held.tokens).max(0.0),
+            requests: (-request.held.requests).max(0.0),
+            tokens: (-request.held.tokens).max(0.0),
         };
         self.requests.charge(debt.requests, now_ms);
         self.tokens.charge(debt.tokens, now_ms);
         debt
     }
 
-    fn free_slots(&self, ask: &BudgetAsk, limits: &Limits, share: f64, now_ms: u64) -> u32 {
+    fn free_slots(&self, request: &BudgetAsk, limits: &Limits, share: f64, now_ms: u64) -> u32 {
         let mut limit = (f64::from(limits.in_flight) * share).floor() as u32;
-        if now_ms < self.unsure_until_ms {
+        if now_ms < self.holders_unknown_until_ms {
             let reported: u32 = self.holders.values().map(|h| h.first_in_flight).sum();
-            let unsure = (f64::from(limits.in_flight) * UNSURE_SHARE).floor() as u32;
-            limit = limit.min(reported + unsure.max(1));
+            let unknown = (f64::from(limits.in_flight) * UNSURE_SHARE).floor() as u32;
+            limit = limit.min(reported + unknown.max(1));
         }
-        let others = self.holders.iter().filter(|(id, _)| **id != ask.router);
+        let others = self.holders.iter().filter(|(id, _)| **id != request.router);
         let taken: u32 = others.map(|(_, holder)| holder.slots).sum();
-        limit.saturating_sub(taken + ask.in_flight)
+        limit.saturating_sub(taken + request.in_flight)
     }
 
-    fn need(&mut self, ask: &BudgetAsk, free_slots: u32, now_ms: u64) -> Needed {
-        let Some(tokens) = ask.need_tokens else {
+    fn decide_need(&mut self, request: &BudgetAsk, free_slots: u32, now_ms: u64) -> Needed {
+        let Some(tokens) = request.need_tokens else {
             return Needed::Nothing;
         };
         if free_slots == 0 {
@@ -266,10 +271,10 @@
         Needed::Admitted
     }
 
-    /// Leases a chunk ahead, as far as the held share and the bucket allow.
-    fn lease_ahead(
+    /// Leases amounts in advance, as far as [`HELD_SHARE`] and the buckets allow.
+    fn lease_in_advance(
         &mut self,
-        ask: &BudgetAsk,
+        request: &BudgetAsk,
         limits: &Limits,
         share: f64,
         now_ms: u64,
@@ -282,17 +287,17 @@
                 tokens: sum.tokens + h.held.tokens,
             });
         let held_burst_s = limits.burst_s * HELD_SHARE * share;
-        let room = |rate_per_s: f64, held: f64| (rate_per_s * held_burst_s - held).max(0.0);
-        let requests = ask
+        let unleased = |rate_per_s: f64, held: f64| (rate_per_s * held_burst_s - held).max(0.0);
+        let requests = request
             .ahead
             .requests
-            .min(room(limits.requests_per_s, held.requests))
+            .min(unleased(limits.requests_per_s, held.requests))
             .min(self.requests.available(now_ms))
             .floor();
-        let tokens = ask
+        let tokens = request
             .ahead
             .tokens
-            .min(room(limits.tokens_per_s, held.tokens))
+            .min(unleased(limits.tokens_per_s, held.tokens))
             .min(self.tokens.available(now_ms))
             .floor();
         self.requests.charge(requests, now_ms);
--- a/crates/sapphiretrack-core/src/emergency.rs
+++ b/crates/sapphiretrack-core/src/emergency.rs
@@ -1,57 +1,59 @@
-//! What a router may admit of a customer's budget while its steward does not answer.
+//! What a router may admit of a customer's budget while the budget's steward does not answer.
 //!
-//! Every router has a fixed part of [`EMERGENCY_SHARE`] of each contract. A paused steward gives
-//! out nothing, so what the parts admit by their rate is less than the contract's. What they admit
-//! is told to the steward as a debt when it answers again.
+//! [`EMERGENCY_SHARE`] of each contract is divided into a fixed part for each router. A paused
+//! steward grants nothing, so the rate that all parts admit together stays below the contract's.
+//! Admitted amounts are reported to the steward as a debt when it answers again.
 
 use std::collections::BTreeSet;
 
 use crate::budget::Amounts;
 use crate::{Limits, RateLimiter, RouterId, hash_parts};
 
-/// The part of a contract that all routers together may admit while the steward does not answer.
+/// Fraction of a contract that all routers together may admit while the steward does not answer.
 pub const EMERGENCY_SHARE: f64 = 0.25;
-/// How long after the first missing answer a router admits without the steward.
+/// How long a router admits without the steward, from the first missing reply.
 ///
-/// It covers the time until a silent router loses its stewardship, and the next one's first answer.
+/// This covers the time until an unresponsive router loses its stewardship and the next steward
+/// answers for the first time.
 pub const EMERGENCY_MS: u64 = 5_000;
-/// Keeps sums such as a third of three from being rounded down to less than one.
+/// Tolerance for rounding down, so that for example a third of three does not become zero.
 const ROUNDING: f64 = 1e-9;
 
-/// Which part of the emergency share is a router's.
+/// A router's part of the emergency share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EmergencyPart {
     rank: u32,
     routers: u32,
 }
 
-/// A router's emergency part of one contract.
+/// A router's emergency budget for one contract.
 #[derive(Clone, Debug)]
 pub(crate) struct EmergencyBudget {
     part: EmergencyPart,
     requests: RateLimiter,
     tokens: RateLimiter,
-    silent_since_ms: Option<u64>,
-    /// What was admitted and the steward has not been told of.
-    spent: Amounts,
+    unreachable_since_ms: Option<u64>,
+    /// Amounts that were admitted and not yet reported to the steward.
+    unreported: Amounts,
 }
 
 impl EmergencyPart {
-    /// The part of the router `me` among all.
+    /// The part of the router `me` among `routers`.
     ///
-    /// Places and requests are not divided, so who has the odd ones differs between customers.
+    /// Slots and requests are indivisible. Which routers get the remainder depends on the customer,
+    /// so that it is not the same routers for all customers.
     pub fn new(me: RouterId, routers: &BTreeSet<RouterId>, customer: &str) -> Self {
         let count = routers.len().max(1) as u64;
-        let before = routers.range(..me).count() as u64;
-        let turn = hash_parts(&[b"emergency", customer.as_bytes()]);
+        let position = routers.range(..me).count() as u64;
+        let offset = hash_parts(&[b"emergency", customer.as_bytes()]);
         Self {
-            rank: ((before + turn % count) % count) as u32,
+            rank: ((position + offset % count) % count) as u32,
             routers: count as u32,
         }
     }
 
-    /// The whole units of a contract's amount; the parts of all routers add up to the share.
-    fn whole(self, amount: f64) -> u32 {
+    /// This part of an amount, in whole units; all parts add up to the emergency share.
+    fn whole_units(self, amount: f64) -> u32 {
         let up_to = |rank: u32| {
             let part = f64::from(rank) / f64::from(self.routers);
             (amount * EMERGENCY_SHARE * part + ROUNDING).floor()
@@ -59,15 +61,17 @@
         (up_to(self.rank + 1) - up_to(self.rank)) as u32
     }
 
-    /// Places in flight. Where requests or places are fewer than routers, those routers have one
-    /// of both that the scarcer of the two gives one.
-    fn places(self, limits: &Limits) -> u32 {
+    /// In-flight limit of this part.
+    ///
+    /// If there are fewer requests or slots than routers, the scarcer of the two decides which
+    /// routers get one of each.
+    fn max_in_flight(self, limits: &Limits) -> u32 {
         let in_flight = f64::from(limits.in_flight);
         let burst = limits.requests_per_s * limits.burst_s;
-        if self.whole(in_flight.min(burst)) == 0 {
+        if self.whole_units(in_flight.min(burst)) == 0 {
             return 0;
         }
-        self.whole(in_flight).max(1)
+        self.whole_units(in_flight).max(1)
     }
 
     fn rate(self, rate_per_s: f64) -> f64 {
@@ -76,55 +80,55 @@
 }
 
 impl EmergencyBudget {
-    /// A full part; the steward is not missed yet.
+    /// Creates a full budget; the steward counts as reachable.
     pub(crate) fn new(part: EmergencyPart, limits: &Limits, now_ms: u64) -> Self {
         let bucket = |rate_per_s| RateLimiter::new(part.rate(rate_per_s), limits.burst_s, now_ms);
         Self {
             part,
             requests: bucket(limits.requests_per_s),
             tokens: bucket(limits.tokens_per_s),
-            silent_since_ms: None,
-            spent: Amounts::default(),
+            unreachable_since_ms: None,
+            unreported: Amounts::default(),
         }
     }
 
-    /// Notes that the steward did not answer; the part stays as it is until it answers.
-    pub(crate) fn note_silence(&mut self, part: EmergencyPart, limits: &Limits, now_ms: u64) {
-        if self.silent_since_ms.is_some() {
+    /// Records that the steward did not answer; the part is then fixed until it answers again.
+    pub(crate) fn mark_unreachable(&mut self, part: EmergencyPart, limits: &Limits, now_ms: u64) {
+        if self.unreachable_since_ms.is_some() {
             return;
         }
-        self.silent_since_ms = Some(now_ms);
+        self.unreachable_since_ms = Some(now_ms);
         self.part = part;
         self.set_limits(limits, now_ms);
     }
 
-    /// Notes that a steward answers.
-    pub(crate) fn end_silence(&mut self) {
-        self.silent_since_ms = None;
+    /// Records that the steward answered.
+    pub(crate) fn mark_reachable(&mut self) {
+        self.unreachable_since_ms = None;
     }
 
-    /// Whether the steward is missed.
-    pub(crate) fn is_silent(&self) -> bool {
-        self.silent_since_ms.is_some()
+    /// Whether the steward is currently unreachable.
+    pub(crate) fn is_steward_unreachable(&self) -> bool {
+        self.unreachable_since_ms.is_some()
     }
 
-    /// Whether the steward is to be asked though no request waits.
-    pub(crate) fn has_news(&self) -> bool {
-        self.is_silent() || self.spent != Amounts::default()
+    /// Whether to contact the steward although no request waits.
+    pub(crate) fn needs_report(&self) -> bool {
+        self.is_steward_unreachable() || self.unreported != Amounts::default()
     }
 
-    /// Whether nothing would be lost by beginning anew.
+    /// Whether the budget is in its initial state and can be dropped.
     pub(crate) fn is_unused(&mut self, now_ms: u64) -> bool {
-        !self.has_news() && self.requests.is_full(now_ms) && self.tokens.is_full(now_ms)
+        !self.needs_report() && self.requests.is_full(now_ms) && self.tokens.is_full(now_ms)
     }
 
-    /// Whether requests are decided here for now.
+    /// Whether requests are currently admitted from this budget.
     pub(crate) fn is_in_use(&self, now_ms: u64) -> bool {
-        self.silent_since_ms
+        self.unreachable_since_ms
             .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) < EMERGENCY_MS)
     }
 
-    /// Admits a request, or says after how many milliseconds it may come back.
+    /// Admits a request, or returns the retry delay in milliseconds; 0 if no slot is free.
     pub(crate) fn try_admit(
         &mut self,
         tokens: f64,
@@ -133,7 +137,7 @@
         now_ms: u64,
     ) -> Result<(), u64> {
         self.set_limits(limits, now_ms);
-        if in_flight >= self.part.places(limits) {
+        if in_flight >= self.part.max_in_flight(limits) {
             return Err(0);
         }
         let wait_ms = self.requests.wait_ms(1.0, now_ms);
@@ -142,20 +146,20 @@
             return Err(wait_ms);
         }
         self.requests.charge(1.0, now_ms);
-        self.spent.requests += 1.0;
+        self.unreported.requests += 1.0;
         self.charge_tokens(tokens, now_ms);
         Ok(())
     }
 
-    /// Counts tokens that a request used.
+    /// Charges tokens that a request used.
     pub(crate) fn charge_tokens(&mut self, tokens: f64, now_ms: u64) {
         self.tokens.charge(tokens, now_ms);
-        self.spent.tokens += tokens;
+        self.unreported.tokens += tokens;
     }
 
-    /// What the steward has to be told, once.
-    pub(crate) fn take_spent(&mut self) -> Amounts {
-        std::mem::take(&mut self.spent)
+    /// Takes the amounts to report to the steward; the next call starts from zero.
+    pub(crate) fn take_unreported(&mut self) -> Amounts {
+        std::mem::take(&mut self.unreported)
     }
 
     fn set_limits(&mut self, limits: &Limits, now_ms: u64) {
--- a/crates/sapphiretrack-core/src/held_budget.rs
+++ b/crates/sapphiretrack-core/src/held_budget.rs
@@ -1,4 +1,4 @@
-//! What one router holds of a customer's budget, and what it may admit with it.
+//! A router's leased part of a customer's budget, and admission from it.
 
 use std::ops::RangeInclusive;
 
@@ -6,54 +6,54 @@
 use crate::emergency::{EmergencyBudget, EmergencyPart};
 use crate::{Limits, RouterId};
 
-/// The holder stops this much before the steward forgets the lease.
+/// The holder stops using a lease this long before it expires at the steward.
 const LEASE_MARGIN_MS: u64 = 200;
-/// How much more than it spent in the last period a router asks to hold ahead.
+/// Amount to lease in advance, as a multiple of the amount used per period.
 const AHEAD_FACTOR: f64 = 1.25;
-/// Requests in a period from which on a router holds a chunk ahead; below, it asks for each.
+/// Requests per period from which on a router leases in advance. Below, it asks for each request.
 const BUSY_REQUESTS: f64 = 2.0;
-/// A busy router renews early when it has less than this part of a period's requests left.
+/// A busy router renews early if it holds less than this fraction of its average use per period.
 const LOW_SHARE: f64 = 0.5;
-/// A lease is renewed when it has no more than this left.
+/// Leases are renewed this long before they expire.
 const RENEW_BEFORE_END_MS: u64 = 600;
-/// How long a refusal is repeated without asking the steward again: for as long as the steward
-/// says, within these bounds.
+/// Bounds of the time for which a refusal is reused without asking the steward again; within them
+/// it is the steward's retry delay.
 const REFUSAL_KEPT_MS: RangeInclusive<u64> = 200..=400;
-/// When to come back if the steward did not answer.
+/// Retry delay for callers if the steward did not answer.
 pub const NO_STEWARD_RETRY_MS: u64 = 250;
 
-/// What may become of a request on this router alone.
+/// Admission decision that a router makes without asking the steward.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may run; it counts as in flight until [`HeldBudget::leave`].
+    /// The request may run; it counts as in flight until [`HeldBudget::leave`].
     Admitted,
     /// The steward has to be asked.
     Ask,
-    /// It is refused.
+    /// The request is refused.
     Refused(Shortage),
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shortage {
-    /// A rate is used up.
+    /// The request or token rate is used up.
     Rate {
-        /// When to come back.
+        /// Retry delay.
         retry_after_ms: u64,
     },
     /// Too many requests are in flight.
     InFlight {
-        /// When to come back.
+        /// Retry delay.
         retry_after_ms: u64,
     },
     /// The steward did not answer.
     NoSteward {
-        /// When to come back.
+        /// Retry delay.
         retry_after_ms: u64,
     },
 }
 
-/// What one router holds of one customer's budget.
+/// One router's leased part of one customer's budget.
 #[derive(Clone, Debug, Default)]
 pub struct HeldBudget {
     limits: Option<Limits>,
@@ -63,26 +63,28 @@
     in_flight: u32,
     peak_in_flight: u32,
     spent: Amounts,
-    /// What was spent in a period of late; nothing after one without requests.
-    usual: Amounts,
+    /// Moving average of the amounts used per period; reset after a period without requests.
+    average: Amounts,
     sequence: u64,
     expires_ms: u64,
-    refused: Option<Refused>,
-    /// The steward that answered last.
+    refused: Option<CachedRefusal>,
+    /// The steward that last answered.
     steward: Option<RouterId>,
     emergency: Option<EmergencyBudget>,
 }
 
-/// The steward's last refusal, kept for a moment so that a surge does not ask for each request.
+/// The steward's last refusal, reused briefly so that a surge does not ask for each request.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
+struct CachedRefusal {
     shortage: Shortage,
     tokens: f64,
     until_ms: u64,
 }
 
 impl HeldBudget {
-    /// Nothing held; `first_sequence` has to be above that of an earlier run of this router.
+    /// Creates an empty budget.
+    ///
+    /// `first_sequence` has to be above all sequence numbers of earlier runs of this router.
     pub fn new(first_sequence: u64) -> Self {
         Self {
             sequence: first_sequence,
@@ -92,37 +94,38 @@
 
     /// Decides on a request with what is held.
     pub fn try_admit(&mut self, tokens: f64, limits: &Limits, now_ms: u64) -> Admission {
-        self.settle(limits, now_ms);
+        self.refresh_lease(limits, now_ms);
         let enough = self.held.requests >= 1.0 && self.held.tokens >= tokens;
         if enough && self.in_flight < self.slots {
             self.held.requests -= 1.0;
             self.held.tokens -= tokens;
-            self.begin(tokens);
+            self.start_request(tokens);
             return Admission::Admitted;
         }
         if let Some(admission) = self.admit_in_emergency(tokens, limits, now_ms) {
             return admission;
         }
         match self.refused {
-            // A smaller request may have better luck.
+            // A smaller request might still be granted.
             Some(refused) if now_ms < refused.until_ms && tokens >= refused.tokens => {
-                Admission::Refused(refused.shortage.in_ms(refused.until_ms - now_ms))
+                Admission::Refused(refused.shortage.with_retry_after(refused.until_ms - now_ms))
             }
             _ => Admission::Ask,
         }
     }
 
-    /// The question to the steward, for a waiting request's tokens or only to renew.
+    /// Creates a request to the steward, for a waiting request's tokens or only to renew the lease.
     pub fn ask(&mut self, router: RouterId, customer: &str, need_tokens: Option<f64>) -> BudgetAsk {
         self.sequence += 1;
-        self.take_over_emergency();
+        self.charge_emergency_use();
         let returned = std::mem::take(&mut self.returned);
         let factor = if self.is_busy() { AHEAD_FACTOR } else { 0.0 };
-        let wanted = |pace: f64, held: f64| (pace * factor - held.max(0.0)).max(0.0).ceil();
-        let pace = self.pace();
+        let wanted =
+            |expected_use: f64, held: f64| (expected_use * factor - held.max(0.0)).max(0.0).ceil();
+        let expected_use = self.expected_use();
         let ahead = Amounts {
-            requests: wanted(pace.requests, self.held.requests),
-            tokens: wanted(pace.tokens, self.held.tokens),
+            requests: wanted(expected_use.requests, self.held.requests),
+            tokens: wanted(expected_use.tokens, self.held.tokens),
         };
         BudgetAsk {
             router,
@@ -141,9 +144,9 @@
         }
     }
 
-    /// Takes the steward's answer to a question that was asked at `asked_ms`.
+    /// Applies the steward's reply to a request that was sent at `asked_ms`.
     ///
-    /// The lease counts from before the question, so it never outlives the steward's.
+    /// The lease counts from the time of sending, so it never outlives the steward's record of it.
     pub fn take_grant(
         &mut self,
         grant: &BudgetGrant,
@@ -152,7 +155,7 @@
         now_ms: u64,
     ) -> Result<(), Shortage> {
         if let Some(emergency) = &mut self.emergency {
-            emergency.end_silence();
+            emergency.mark_reachable();
         }
         self.held.requests += grant.added.requests;
         self.held.tokens += grant.added.tokens;
@@ -163,7 +166,7 @@
             Needed::Nothing => return Ok(()),
             Needed::Admitted => {
                 self.refused = None;
-                self.begin(need_tokens);
+                self.start_request(need_tokens);
                 return Ok(());
             }
             Needed::RateUsedUp {
@@ -177,33 +180,35 @@
             }
             Needed::SlotsUsedUp { retry_after_ms } => Shortage::InFlight { retry_after_ms },
         };
-        self.refuse(shortage, refused_tokens, now_ms);
+        self.record_refusal(shortage, refused_tokens, now_ms);
         Err(shortage)
     }
 
-    /// Notes who answers. Another steward is not told of what was admitted without one: its bucket
-    /// starts with an eighth and lacks the time of the silence.
+    /// Records which router answers as steward.
+    ///
+    /// Amounts admitted in an emergency are not reported to a new steward: its bucket starts at
+    /// [`UNSURE_SHARE`](crate::UNSURE_SHARE) and did not refill while no steward answered.
     pub fn answered_by(&mut self, steward: RouterId) {
         if self.steward.replace(steward) != Some(steward)
             && let Some(emergency) = &mut self.emergency
         {
-            let _not_told = emergency.take_spent();
+            let _unreported = emergency.take_unreported();
         }
     }
 
-    /// Notes that the steward did not answer; for a bounded time [`Self::try_admit`] then decides
-    /// with this router's part of the emergency share.
+    /// Records that the steward did not answer. For a limited time, [`Self::try_admit`] then admits
+    /// from this router's part of the emergency share.
     pub fn no_steward(&mut self, part: EmergencyPart, limits: &Limits, now_ms: u64) {
         self.emergency
             .get_or_insert_with(|| EmergencyBudget::new(part, limits, now_ms))
-            .note_silence(part, limits, now_ms);
+            .mark_unreachable(part, limits, now_ms);
         let shortage = Shortage::NoSteward {
             retry_after_ms: NO_STEWARD_RETRY_MS,
         };
-        self.refuse(shortage, 0.0, now_ms);
+        self.record_refusal(shortage, 0.0, now_ms);
     }
 
-    /// Counts tokens that a request used beyond its estimate.
+    /// Charges tokens that a request used beyond its estimate.
     pub fn charge_tokens(&mut self, tokens: f64, now_ms: u64) {
         self.drop_expired(now_ms);
         self.spent.tokens += tokens;
@@ -215,17 +220,17 @@
         }
     }
 
-    /// Lets a request out.
+    /// Records that an admitted request ended.
     pub fn leave(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        // A place came free here: ask again rather than refuse.
+        // An in-flight slot became free, so an in-flight refusal no longer applies.
         self.refused = self
             .refused
             .filter(|refused| !matches!(refused.shortage, Shortage::InFlight { .. }));
     }
 
-    /// Ends a period: what was not used in it goes back. Returns the question that renews the
-    /// lease, if there is a reason for one.
+    /// Ends a period: a router that is not busy returns what it holds. Returns a request to the
+    /// steward if the lease has to be renewed or there is something to report.
     pub fn end_period(
         &mut self,
         router: RouterId,
@@ -233,28 +238,29 @@
         limits: &Limits,
         now_ms: u64,
     ) -> Option<BudgetAsk> {
-        self.settle(limits, now_ms);
-        self.note_pace();
+        self.refresh_lease(limits, now_ms);
+        self.update_average();
         if !self.is_busy() {
             self.give_all_back();
         }
-        // What only runs or lies ready is told just often enough that the steward goes on counting.
+        // Without other changes, requests in flight and held amounts are reported only as often as
+        // needed to keep the lease.
         let lease_ends = now_ms + RENEW_BEFORE_END_MS >= self.expires_ms;
-        let is_low = self.held.requests < self.usual.requests * LOW_SHARE
-            || self.held.tokens < self.usual.tokens * LOW_SHARE;
-        // After a refusal there is nothing to have.
+        let is_running_low = self.held.requests < self.average.requests * LOW_SHARE
+            || self.held.tokens < self.average.tokens * LOW_SHARE;
+        // After a refusal, the steward has nothing to grant.
         let is_refused = self
             .refused
             .is_some_and(|refused| now_ms < refused.until_ms);
-        let is_low = is_low && !is_refused;
-        let due = (self.is_busy() && (is_low || lease_ends))
+        let is_running_low = is_running_low && !is_refused;
+        let due = (self.is_busy() && (is_running_low || lease_ends))
             || self.returned != Amounts::default()
             || self.held.requests < 0.0
             || self.held.tokens < 0.0
             || self
                 .emergency
                 .as_ref()
-                .is_some_and(EmergencyBudget::has_news)
+                .is_some_and(EmergencyBudget::needs_report)
             || (self.in_flight > 0 && lease_ends);
         let ask = due.then(|| self.ask(router, customer, None));
         self.spent = Amounts::default();
@@ -264,32 +270,32 @@
         ask
     }
 
-    /// Whether a chunk ahead is worth its messages.
+    /// Whether the rate of requests justifies the messages for leasing in advance.
     fn is_busy(&self) -> bool {
-        self.pace().requests >= BUSY_REQUESTS
+        self.expected_use().requests >= BUSY_REQUESTS
     }
 
-    /// What a period takes.
-    fn pace(&self) -> Amounts {
+    /// Expected use per period: the higher of the current period's and the average.
+    fn expected_use(&self) -> Amounts {
         Amounts {
-            requests: self.spent.requests.max(self.usual.requests),
-            tokens: self.spent.tokens.max(self.usual.tokens),
+            requests: self.spent.requests.max(self.average.requests),
+            tokens: self.spent.tokens.max(self.average.tokens),
         }
     }
 
-    fn note_pace(&mut self) {
-        let usual = |before: f64, spent: f64| (before + spent) / 2.0;
-        self.usual = if self.spent.requests > 0.0 {
+    fn update_average(&mut self) {
+        let average = |before: f64, spent: f64| (before + spent) / 2.0;
+        self.average = if self.spent.requests > 0.0 {
             Amounts {
-                requests: usual(self.usual.requests, self.spent.requests),
-                tokens: usual(self.usual.tokens, self.spent.tokens),
+                requests: average(self.average.requests, self.spent.requests),
+                tokens: average(self.average.tokens, self.spent.tokens),
             }
         } else {
             Amounts::default()
         };
     }
 
-    /// Whether nothing is held and nothing runs.
+    /// Whether nothing is held, used or in flight, so that the budget can be dropped.
     pub fn is_idle(&self) -> bool {
         self.in_flight == 0
             && self.held == Amounts::default()
@@ -298,7 +304,8 @@
             && self.emergency.is_none()
     }
 
-    /// Decides while the steward does not answer; none if it does, or is missed for too long.
+    /// Decides while the steward does not answer; `None` if it does, or if it has not answered for
+    /// too long.
     fn admit_in_emergency(
         &mut self,
         tokens: f64,
@@ -312,7 +319,7 @@
         Some(
             match emergency.try_admit(tokens, self.in_flight, limits, now_ms) {
                 Ok(()) => {
-                    self.begin(tokens);
+                    self.start_request(tokens);
                     Admission::Admitted
                 }
                 Err(wait_ms) => Admission::Refused(Shortage::NoSteward {
@@ -322,20 +329,22 @@
         )
     }
 
-    /// Once the steward answers again, what was admitted without it becomes a debt. Questions that
-    /// only find out whether it answers carry none: it may read many of them at once.
-    fn take_over_emergency(&mut self) {
+    /// Turns the amounts admitted in an emergency into a debt once the steward answers again.
+    ///
+    /// Requests sent while it does not answer carry no debt, since it may read many of them at
+    /// once.
+    fn charge_emergency_use(&mut self) {
         if let Some(emergency) = &mut self.emergency
-            && !emergency.is_silent()
+            && !emergency.is_steward_unreachable()
         {
-            let spent = emergency.take_spent();
+            let spent = emergency.take_unreported();
             self.held.requests -= spent.requests;
             self.held.tokens -= spent.tokens;
         }
     }
 
-    /// Drops what is no longer the router's: after the lease, or when the contract has changed.
-    fn settle(&mut self, limits: &Limits, now_ms: u64) {
+    /// Drops an expired lease, and returns everything if the contract has changed.
+    fn refresh_lease(&mut self, limits: &Limits, now_ms: u64) {
         if self.limits.as_ref() != Some(limits) {
             self.limits = Some(limits.clone());
             self.give_all_back();
@@ -344,7 +353,7 @@
         self.drop_expired(now_ms);
     }
 
-    /// After the lease only what was used too much is left.
+    /// Drops an expired lease; only debts remain.
     fn drop_expired(&mut self, now_ms: u64) {
         if now_ms < self.expires_ms {
             return;
@@ -364,18 +373,18 @@
         self.slots = 0;
     }
 
-    fn begin(&mut self, tokens: f64) {
+    fn start_request(&mut self, tokens: f64) {
         self.in_flight += 1;
         self.peak_in_flight = self.peak_in_flight.max(self.in_flight);
         self.spent.requests += 1.0;
         self.spent.tokens += tokens;
     }
 
-    fn refuse(&mut self, shortage: Shortage, tokens: f64, now_ms: u64) {
+    fn record_refusal(&mut self, shortage: Shortage, tokens: f64, now_ms: u64) {
         let kept_ms = shortage
             .retry_after_ms()
             .clamp(*REFUSAL_KEPT_MS.start(), *REFUSAL_KEPT_MS.end());
-        self.refused = Some(Refused {
+        self.refused = Some(CachedRefusal {
             shortage,
             tokens,
             until_ms: now_ms + kept_ms,
@@ -384,8 +393,8 @@
 }
 
 impl Shortage {
-    /// The same, to come back after `retry_after_ms` at the earliest.
-    fn in_ms(self, retry_after_ms: u64) -> Self {
+    /// The same shortage with another retry delay.
+    fn with_retry_after(self, retry_after_ms: u64) -> Self {
         match self {
             Self::Rate { .. } => Self::Rate { retry_after_ms },
             Self::InFlight { .. } => Self::InFlight { retry_after_ms },
@@ -393,7 +402,7 @@
         }
     }
 
-    /// When to come back.
+    /// Retry delay for the caller.
     pub fn retry_after_ms(self) -> u64 {
         match self {
             Self::Rate { retry_after_ms }
--- a/crates/sapphiretrack-core/src/limits.rs
+++ b/crates/sapphiretrack-core/src/limits.rs
@@ -1,6 +1,6 @@
-//! A token bucket.
+//! Rate limiting with a token bucket.
 
-/// A token bucket; time is passed in.
+/// A token bucket; callers pass in the current time.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     rate_per_s: f64,
@@ -10,7 +10,7 @@
 }
 
 impl RateLimiter {
-    /// A full bucket of `burst_s` seconds' worth.
+    /// Creates a full bucket that holds `burst_s` seconds of the rate, at least one unit.
     pub fn new(rate_per_s: f64, burst_s: f64, now_ms: u64) -> Self {
         let capacity = (rate_per_s * burst_s).max(1.0);
         Self {
@@ -21,9 +21,9 @@
         }
     }
 
-    /// Takes `amount`, or says after how many milliseconds it will be there.
+    /// Takes `amount`, or returns in how many milliseconds it will be available.
     ///
-    /// More than the bucket holds is granted from a full bucket and leaves a debt.
+    /// An amount above the capacity is granted from a full bucket and leaves a debt.
     pub fn try_take(&mut self, amount: f64, now_ms: u64) -> Result<(), u64> {
         match self.wait_ms(amount, now_ms) {
             0 => {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// After how many milliseconds [`Self::try_take`] would take `amount`; 0 for now.
+    /// Milliseconds until [`Self::try_take`] would succeed for `amount`; 0 if it would now.
     pub fn wait_ms(&mut self, amount: f64, now_ms: u64) -> u64 {
         self.refill(now_ms);
         let needed = amount.min(self.capacity);
@@ -46,7 +46,7 @@
             .max(1.0) as u64
     }
 
-    /// What can be taken without a debt.
+    /// The amount that can be taken without leaving a debt.
     pub fn available(&mut self, now_ms: u64) -> f64 {
         self.refill(now_ms);
         self.level.max(0.0)
@@ -58,24 +58,24 @@
         self.level >= self.capacity
     }
 
-    /// Takes back what was taken and not used.
+    /// Returns an amount that was taken and not used.
     pub fn give_back(&mut self, amount: f64, now_ms: u64) {
         self.refill(now_ms);
         self.level = (self.level + amount).min(self.capacity);
     }
 
-    /// Leaves only a part of what the bucket holds, but at least one.
+    /// Reduces the level to a fraction of it, but not below one unit.
     pub fn scale_level(&mut self, share: f64) {
         self.level = (self.level * share).max(self.level.min(1.0));
     }
 
-    /// Takes what was used beyond the estimate, as a debt if need be.
+    /// Takes an amount unconditionally; the level may become negative.
     pub fn charge(&mut self, amount: f64, now_ms: u64) {
         self.refill(now_ms);
         self.level -= amount;
     }
 
-    /// Changes rate and burst and keeps the level within the new capacity.
+    /// Changes the rate and burst; the level is limited to the new capacity.
     pub fn set_rate(&mut self, rate_per_s: f64, burst_s: f64, now_ms: u64) {
         self.refill(now_ms);
         self.rate_per_s = rate_per_s;
