--- a/crates/sapphiretrack-core/src/endings.rs
+++ b/crates/sapphiretrack-core/src/endings.rs
@@ -1,29 +1,30 @@
-//! Runs of routers that are proven to have ended, so that nothing has to run out for them.
+//! Router incarnations proven to have ended, so that no timeout has to expire for them.
 
 use std::collections::BTreeMap;
 
 use crate::{Incarnation, RouterId};
 
-/// The most runs that are remembered.
-const MAX_REMEMBERED: usize = 1_024;
+/// Maximum number of incarnations in each table.
+const MAX_INCARNATIONS: usize = 1_024;
 
-/// Which routers' newest known runs have ended.
+/// The routers whose latest known incarnation has ended.
 ///
-/// The proof is a refused connection at the address where that run listened. Silence proves
-/// nothing: a router that is frozen or cut off may go on granting. Where a refusal turns out to be
-/// wrong, as from a packet filter, further ones for that run prove nothing.
+/// The proof is a refused connection to the address where that incarnation listened. A lack of
+/// heartbeats proves nothing: a frozen or partitioned router may continue to grant slots. If a
+/// heartbeat shows that a refusal was wrong, for example because a packet filter refused the
+/// connection, later refusals for that incarnation are ignored.
 #[derive(Debug, Default)]
 pub struct Endings {
-    runs: BTreeMap<RouterId, Incarnation>,
-    /// Runs that were seen after a refusal.
+    ended: BTreeMap<RouterId, Incarnation>,
+    /// Incarnations that sent a heartbeat after a refused connection.
     disproved: BTreeMap<RouterId, Incarnation>,
 }
 
 impl Endings {
-    /// Notes a refused connection. `dialled` is the newest run known when the connection was
-    /// begun, `newest` the newest run known now; tells whether the end is news.
+    /// Records a refused connection; returns whether it newly proves that an incarnation ended.
     ///
-    /// A run that was seen only after the connection was begun is not proven to have ended.
+    /// `dialled` is the latest incarnation known when the connection attempt started, `newest` the
+    /// latest one known now. If they differ, the refusal proves nothing about `newest`.
     pub fn note_refused(
         &mut self,
         router: RouterId,
@@ -34,31 +35,35 @@
         if dialled != newest || is_disproved || self.has_ended(router, newest) {
             return false;
         }
-        remember(&mut self.runs, router, newest);
+        insert_bounded(&mut self.ended, router, newest);
         true
     }
 
-    /// Notes a heartbeat: whoever refused for this router, it was not this run's end.
-    pub fn note_seen(&mut self, router: RouterId, run: Incarnation) {
-        if self.runs.remove(&router) == Some(run) {
-            remember(&mut self.disproved, router, run);
+    /// Records a heartbeat, which disproves an earlier refusal for the same incarnation.
+    pub fn note_seen(&mut self, router: RouterId, incarnation: Incarnation) {
+        if self.ended.remove(&router) == Some(incarnation) {
+            insert_bounded(&mut self.disproved, router, incarnation);
         }
     }
 
-    /// Whether the newest known run of a router has ended.
+    /// Whether a router's latest known incarnation has ended.
     pub fn has_ended(&self, router: RouterId, newest: Incarnation) -> bool {
-        self.runs.get(&router) == Some(&newest)
+        self.ended.get(&router) == Some(&newest)
     }
 
-    /// The routers whose last known run has ended.
+    /// The routers whose latest known incarnation has ended.
     pub fn routers(&self) -> impl Iterator<Item = RouterId> {
-        self.runs.keys().copied()
+        self.ended.keys().copied()
     }
 }
 
-fn remember(runs: &mut BTreeMap<RouterId, Incarnation>, router: RouterId, run: Incarnation) {
-    if runs.len() >= MAX_REMEMBERED {
-        runs.pop_first();
+fn insert_bounded(
+    table: &mut BTreeMap<RouterId, Incarnation>,
+    router: RouterId,
+    incarnation: Incarnation,
+) {
+    if table.len() >= MAX_INCARNATIONS {
+        table.pop_first();
     }
-    runs.insert(router, run);
+    table.insert(router, incarnation);
 }
--- a/crates/sapphiretrack-core/src/lease.rs
+++ b/crates/sapphiretrack-core/src/lease.rs
@@ -1,21 +1,23 @@
-//! Leases: what one router must do alone, under a fencing number that only rises.
+//! Leases for tasks that only one router may do, with a fencing number that only increases.
 //!
-//! Nobody compares clocks. The holder counts its lease by its own monotonic clock from *before*
-//! it asked; a contender counts by its own from when it first *saw* the row as it stands.
+//! Clocks of different routers are never compared. The holder counts its lease by its own monotonic
+//! clock from *before* it sent the write. A contender counts by its own clock from when it first
+//! *read* the row in its current state.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Incarnation, RouterId};
 
-/// A number that rises with each holder of a lease.
+/// A number that increases each time a lease is acquired.
 pub type Fencing = u64;
 
-/// Times that rule a lease.
+/// Timing of a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTerms {
-    /// How long a write to the row holds.
+    /// How long the lease lasts after a write of its row.
     pub duration_ms: u64,
-    /// How much earlier the holder stops, and later a contender starts: clocks drift.
+    /// Allowance for clock drift: the holder stops this much earlier, a contender starts this much
+    /// later.
     pub margin_ms: u64,
     /// How often the holder renews.
     pub renew_every_ms: u64,
@@ -34,48 +36,48 @@
 /// The row of a lease in the platform's table.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseRow {
-    /// Who holds it, or held it last.
+    /// The current or last holder.
     pub holder: RouterId,
-    /// Which run of the holder.
+    /// The holder's incarnation.
     pub incarnation: Incarnation,
-    /// Rises by one whenever the holder changes, and when it takes the lease anew.
+    /// Increases by one each time the lease is acquired, also by the same holder.
     pub fencing: Fencing,
-    /// Rises with each renewal, so that a contender sees that the holder lives.
+    /// Increases with each renewal, which shows contenders that the holder is alive.
     pub renewal: u64,
-    /// Whether the holder gave it back.
+    /// Whether the holder released the lease.
     pub released: bool,
-    /// Names one write, so that a lost reply can be settled.
+    /// Identifies one write, to find out after a lost reply whether it was applied.
     pub write_id: u64,
 }
 
 /// A lease that this router holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldLease {
-    /// The fencing number for orders.
+    /// The fencing number to send with orders.
     pub fencing: Fencing,
-    /// Until when it holds, margin taken off, by the holder's clock.
+    /// When the lease ends, minus the margin, by the holder's clock.
     pub valid_until_ms: u64,
-    /// The row as this router wrote it last.
+    /// The row as this router last wrote it.
     pub row: LeaseRow,
 }
 
-/// What a router does next about a lease.
+/// A router's next step for a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseStep {
-    /// Write this row, if the table's row is still the one that was seen.
+    /// Write this row, on condition that the table's row is still the one that was read.
     Write(LeaseRow),
-    /// Nothing: another router holds the lease, or it is too early to renew.
+    /// Do nothing: another router holds the lease, or it is too early to renew it.
     Wait,
 }
 
-/// The row as a router last saw it.
+/// The row as a router last read it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Seen {
     row: Option<LeaseRow>,
     since_ms: u64,
 }
 
-/// One router's part in one lease.
+/// State of one lease on one router.
 #[derive(Clone, Debug)]
 pub struct LeaseKeeper {
     me: RouterId,
@@ -87,7 +89,7 @@
 }
 
 impl LeaseKeeper {
-    /// A keeper that has not seen the row yet.
+    /// Creates a keeper that has not read the row yet.
     pub fn new(me: RouterId, incarnation: Incarnation, terms: LeaseTerms) -> Self {
         Self {
             me,
@@ -99,27 +101,27 @@
         }
     }
 
-    /// The fencing number, if the lease holds now. Ask right before each order.
+    /// The fencing number if this router holds the lease now. Call this right before each order.
     pub fn fencing(&self, now_ms: u64) -> Option<Fencing> {
         self.held
             .filter(|held| now_ms < held.valid_until_ms)
             .map(|held| held.fencing)
     }
 
-    /// The times that rule this lease.
+    /// The timing of this lease.
     pub fn terms(&self) -> &LeaseTerms {
         &self.terms
     }
 
-    /// Whether the row has to be read: nothing is held, or the renewal is due.
+    /// Whether the row has to be read: the lease is not held, or its renewal is due.
     pub fn is_due(&self, now_ms: u64) -> bool {
         let renewed_for_ms = now_ms.saturating_sub(self.renewed_ms);
         self.fencing(now_ms).is_none() || renewed_for_ms >= self.terms.renew_every_ms
     }
 
-    /// Takes in the row as the table has it, read at `now_ms`, and decides.
+    /// Processes the row read at `now_ms` and decides the next step.
     ///
-    /// `write_id` is drawn anew for each call.
+    /// `write_id` has to be a new random number for each call.
     pub fn decide(&mut self, row: Option<&LeaseRow>, write_id: u64, now_ms: u64) -> LeaseStep {
         let row = row.copied();
         if self.seen.is_none_or(|seen| seen.row != row) {
@@ -153,9 +155,9 @@
         })
     }
 
-    /// Notes that a row was written; `asked_ms` is from before the write was sent.
+    /// Records that a row was written; `asked_ms` is a time before the write was sent.
     pub fn note_written(&mut self, row: &LeaseRow, asked_ms: u64) {
-        let lasts_ms = self.terms.duration_ms.saturating_sub(self.terms.margin_ms);
+        let usable_ms = self.terms.duration_ms.saturating_sub(self.terms.margin_ms);
         self.renewed_ms = asked_ms;
         self.seen = Some(Seen {
             row: Some(*row),
@@ -163,12 +165,13 @@
         });
         self.held = (!row.released).then_some(HeldLease {
             fencing: row.fencing,
-            valid_until_ms: asked_ms + lasts_ms,
+            valid_until_ms: asked_ms + usable_ms,
             row: *row,
         });
     }
 
-    /// The row that gives the lease back, for a planned stop. After this nothing is ordered.
+    /// Ends the lease for a planned stop and returns the row to write, if the lease was held.
+    /// Afterwards no order may be sent.
     pub fn release(&mut self, write_id: u64) -> Option<LeaseRow> {
         let held = self.held.take()?;
         Some(LeaseRow {
@@ -178,8 +181,8 @@
         })
     }
 
-    /// Drops a lease that lapsed, or whose row is another's. A lapsed lease is never renewed: it
-    /// is taken anew, under a new number.
+    /// Drops a lease that has expired or whose row was overwritten by another holder. An expired
+    /// lease is never renewed, only acquired again with a new fencing number.
     fn forget_if_lost(&mut self, row: Option<LeaseRow>, now_ms: u64) {
         let Some(held) = self.held else { return };
         let same = row.is_some_and(|row| {
@@ -191,15 +194,15 @@
         }
     }
 
-    /// Whether nobody can hold the lease any more.
+    /// Whether no router can hold the lease any more.
     fn is_free(&self, row: Option<LeaseRow>, now_ms: u64) -> bool {
         let Some(row) = row else { return true };
         let waited_ms = self
             .seen
             .map_or(0, |seen| now_ms.saturating_sub(seen.since_ms));
-        let lapsed = waited_ms >= self.terms.duration_ms + self.terms.margin_ms;
-        let own_run = row.holder == self.me && row.incarnation == self.incarnation;
-        // This router's own lapsed lease is over by its own clock.
-        row.released || own_run || lapsed
+        let has_expired = waited_ms >= self.terms.duration_ms + self.terms.margin_ms;
+        let is_own = row.holder == self.me && row.incarnation == self.incarnation;
+        // This incarnation's own lease has expired by its own clock, so there is no need to wait.
+        row.released || is_own || has_expired
     }
 }
--- a/crates/sapphiretrack-core/src/ledger.rs
+++ b/crates/sapphiretrack-core/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The steward's ledger: exact slot counts of the servers that one router is steward of.
+//! The steward's ledger: exact slot counts of the servers that a router is steward of.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,19 +8,18 @@
     ConsentSettings, LoadBound, PoolLoad, ReservationId, RouterId, ServerId, server_limit,
 };
 
-/// Times that rule the ledger.
+/// Timing of the ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a new steward waits for a router that is no longer seen.
+    /// How long a new steward waits for a lost router to list its slots.
     pub dead_holder_grace_ms: u64,
-    /// How long a router that is no longer seen still counts among those of whom most have
-    /// to consent, and its known slots stay counted; longer than an isolated router keeps taking
-    /// new work.
+    /// How long a lost router still counts toward the quorum and its known slots stay counted. This
+    /// is longer than an isolated router continues to accept new work.
     pub electorate_ms: u64,
-    /// For so long, requests of a lost router may run on a server that no router lists; what the
-    /// server reports beyond the listed ones is counted too.
-    pub orphans_ms: u64,
-    /// How consent is given.
+    /// How long requests of a lost router may run on a server without any router listing them. For
+    /// this time, requests that the server reports in excess of the listed ones count as well.
+    pub orphaned_requests_ms: u64,
+    /// Timing of consent.
     pub consent: ConsentSettings,
 }
 
@@ -29,85 +28,85 @@
         Self {
             dead_holder_grace_ms: 3_000,
             electorate_ms: 15_000,
-            orphans_ms: 60_000,
+            orphaned_requests_ms: 60_000,
             consent: ConsentSettings::default(),
         }
     }
 }
 
-/// Asks for a slot on a server.
+/// A request for a slot on a server.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ReserveRequest {
-    /// Who asks.
+    /// The requesting router.
     pub router: RouterId,
-    /// Unique for the asker.
+    /// The reservation's id, unique for the requesting router.
     pub reservation: ReservationId,
     /// The server.
     pub server: ServerId,
-    /// The part of the bound that the request's class may fill.
+    /// Fraction of the load bound that the request's class may fill.
     pub bound_share: f32,
-    /// The asker's requests in flight on the server's pool.
+    /// The requesting router's requests in flight on the server's pool.
     pub in_flight: u16,
 }
 
-/// The steward's answer.
+/// The steward's reply.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Grant {
-    /// The slot is the asker's until it releases it.
+    /// The requesting router holds the slot until it releases it.
     Granted,
-    /// The server is at its bound for this class.
+    /// The server has reached its load bound for this class.
     Full,
-    /// This router is not the server's steward, or does not yet know all holders.
+    /// This router is not the server's steward, or does not know all slot holders yet.
     NotSteward,
 }
 
-/// What a router holds on the servers of one steward, as it stands when sent.
+/// The slots that a router holds on the servers of one steward, at the time of sending.
 ///
-/// Listing a server is also the sender's consent that the receiver is its steward.
+/// Listing a server also gives the sender's consent to the receiver as its steward.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HeldSlots {
-    /// Reservations from this id on were made later and are not judged by this message.
+    /// Reservations from this id on are newer than this message, which says nothing about them.
     pub next_reservation: u32,
-    /// The reservations held or asked for on each server that the sender believes the receiver
-    /// to be steward of; a server without any is listed empty.
+    /// Reservations held or requested, for each server whose steward is the receiver in the
+    /// sender's view; a server without reservations has an empty list.
     pub by_server: Vec<(ServerId, Vec<ReservationId>)>,
 }
 
-/// The routers of a cell as one of them knows them.
+/// One router's view of the routers of its cell.
 #[derive(Clone, Copy, Debug)]
 pub struct CellView<'a> {
-    /// The servers that this router's own view makes it steward of.
+    /// The servers that this router is steward of in its own view.
     pub stewarded: &'a [ServerId],
-    /// The routers seen lately, leaving ones and this one included.
+    /// The routers seen recently, including leaving ones and this one.
     pub live: &'a [RouterId],
-    /// All routers there may be: listed ones and those seen lately.
+    /// All routers that may exist: listed ones and those seen recently.
     pub known: &'a [RouterId],
-    /// Routers whose last known run is proven to have ended; live ones among them do not count.
+    /// Routers whose last known incarnation is proven to have ended; ignored for live ones.
     pub ended: &'a [RouterId],
 }
 
-/// The slots of the servers that this router is steward of.
+/// Slots of the servers that a router is steward of.
 #[derive(Debug)]
 pub struct Ledger {
     settings: Settings,
     me: RouterId,
     servers: BTreeMap<ServerId, ServerSlots>,
-    /// Routers that were known and are not seen.
-    lost: BTreeMap<RouterId, Lost>,
-    /// Everyone who may hold a slot that this router did not grant.
+    /// Routers that are known but not seen.
+    lost: BTreeMap<RouterId, LostRouter>,
+    /// Other routers that may hold slots that this router did not grant.
     holders: BTreeSet<RouterId>,
-    /// Routers of whom most have to consent.
+    /// Number of routers of which a majority has to consent.
     electorate: usize,
     sees_cell: bool,
-    /// Until then requests may run that no router lists.
-    orphans_until_ms: u64,
+    /// Until this time, requests may be running that no router lists.
+    orphaned_requests_until_ms: u64,
 }
 
-/// A router that is not seen.
+/// A router that is no longer seen.
 #[derive(Clone, Copy, Debug)]
-struct Lost {
+struct LostRouter {
     since_ms: u64,
-    /// Since when it is proven to have ended.
+    /// When it was proven to have ended, if it was.
     ended_ms: Option<u64>,
 }
 
@@ -115,18 +114,19 @@
 #[derive(Debug, Default)]
 struct ServerSlots {
     held: BTreeMap<RouterId, BTreeSet<ReservationId>>,
-    /// When each router last said what it holds, and so consented to this steward.
+    /// When each router last listed its slots, which includes its consent to this steward.
     consents: BTreeMap<RouterId, u64>,
-    /// Requests that the server reported beyond those listed, by its last two reports: a slot that
-    /// is listed and was refused hides one for the time of a heartbeat.
+    /// Requests in excess of the listed slots in the server's last two reports. Two are kept
+    /// because a slot that is listed but was refused hides one request for a heartbeat interval.
     unlisted: [u32; 2],
     reported_ms: Option<u64>,
-    /// Whether all holders were seen under the present consent; no grant before.
-    is_whole: bool,
+    /// Whether all possible holders have listed their slots and consent has lasted since then. No
+    /// slot is granted before that.
+    may_grant: bool,
 }
 
 impl Ledger {
-    /// An empty ledger of the router `me`.
+    /// Creates an empty ledger for the router `me`.
     pub fn new(me: RouterId, settings: Settings) -> Self {
         Self {
             settings,
@@ -134,17 +134,17 @@
             servers: BTreeMap::new(),
             lost: BTreeMap::new(),
             holders: BTreeSet::new(),
-            // Before the first view nobody can be most of the cell.
+            // No majority is possible before the first view.
             electorate: usize::MAX,
             sees_cell: false,
-            orphans_until_ms: 0,
+            orphaned_requests_until_ms: 0,
         }
     }
 
-    /// Takes in a new view. Call it often: this is also where consent is seen to lapse.
+    /// Applies a new view. Call it often, because expired consent is detected here as well.
     ///
-    /// A server that is new here, or whose consent has lapsed, grants nothing until most routers
-    /// consent and every router that may hold a slot has said what it holds.
+    /// No slots are granted on a server that is new here, or whose consent has expired, until a
+    /// majority of the routers consents and every router that may hold a slot has listed its slots.
     pub fn set_view(&mut self, view: &CellView<'_>, now_ms: u64) {
         self.note_lost_routers(view, now_ms);
         for server in view.stewarded {
@@ -155,13 +155,14 @@
         self.servers.retain(|server, slots| {
             view.stewarded.contains(server) || slots.fresh_consents(consent_ms, now_ms) > 0
         });
-        let start = self.start(now_ms);
+        let conditions = self.conditions(now_ms);
         for slots in self.servers.values_mut() {
-            slots.settle(&start, now_ms);
+            slots.update_may_grant(&conditions, now_ms);
         }
     }
 
-    /// Takes in what a router holds; this also settles lost grants and lost releases.
+    /// Applies a router's list of its slots; this also corrects the effects of lost grants and lost
+    /// releases.
     pub fn reconcile(&mut self, router: RouterId, slots: &HeldSlots, now_ms: u64) {
         for (server, reservations) in &slots.by_server {
             let entry = self.servers.entry(*server).or_default();
@@ -180,17 +181,17 @@
         load: &PoolLoad,
         now_ms: u64,
     ) -> Grant {
-        let start = self.start(now_ms);
+        let conditions = self.conditions(now_ms);
         let Some(entry) = self.servers.get_mut(&request.server) else {
             return Grant::NotSteward;
         };
-        entry.settle(&start, now_ms);
-        if !entry.is_whole {
+        entry.update_may_grant(&conditions, now_ms);
+        if !entry.may_grant {
             return Grant::NotSteward;
         }
         let share = f64::from(request.bound_share);
         let limit = server_limit(bound, load, share);
-        let unlisted = match now_ms < self.orphans_until_ms {
+        let unlisted = match now_ms < self.orphaned_requests_until_ms {
             true => entry.unlisted[0].max(entry.unlisted[1]),
             false => 0,
         };
@@ -202,7 +203,7 @@
         Grant::Granted
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release(&mut self, router: RouterId, server: ServerId, reservation: ReservationId) {
         let Some(entry) = self.servers.get_mut(&server) else {
             return;
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Takes in how many requests a server itself reports.
+    /// Records the number of requests in flight that a server reports.
     pub fn note_report(&mut self, server: ServerId, reported: u32, now_ms: u64) {
         if let Some(entry) = self.servers.get_mut(&server) {
             entry.reported_ms = Some(now_ms);
@@ -221,26 +222,26 @@
         }
     }
 
-    /// Whether this router sees most of its cell, and of all routers that may hold slots.
+    /// Whether this router sees a majority of its cell and every router that may hold slots.
     pub fn sees_cell(&self) -> bool {
         self.sees_cell
     }
 
-    /// Slots held on a server, if this router counts them all.
+    /// Number of slots held on a server; `None` unless this router counts all of them.
     pub fn held(&self, server: ServerId) -> Option<u32> {
         let slots = self.servers.get(&server)?;
-        slots.is_whole.then(|| slots.count())
+        slots.may_grant.then(|| slots.count())
     }
 
-    /// What a new steward needs now.
-    fn start(&self, now_ms: u64) -> Start {
+    /// The current conditions for a new steward to start granting.
+    fn conditions(&self, now_ms: u64) -> StartConditions {
         let electorate_ms = self.settings.electorate_ms;
-        let lately = |lost: &Lost| now_ms.saturating_sub(lost.since_ms) < electorate_ms;
-        let lost = self.lost.iter().filter(|(_, lost)| lately(lost));
-        // Without its own consent this router does not fetch the server's reports.
+        let is_recent = |lost: &LostRouter| now_ms.saturating_sub(lost.since_ms) < electorate_ms;
+        let lost = self.lost.iter().filter(|(_, lost)| is_recent(lost));
+        // This router is included: without its own consent, it does not fetch the server's reports.
         let mut holders = self.holders.clone();
         holders.insert(self.me);
-        Start {
+        StartConditions {
             holders,
             electorate: self.electorate,
             consent_ms: self.settings.consent.consent_ms,
@@ -251,26 +252,26 @@
     }
 
     fn note_lost_routers(&mut self, view: &CellView<'_>, now_ms: u64) {
-        self.update_lost(view, now_ms);
+        self.update_lost_routers(view, now_ms);
         let Settings {
             dead_holder_grace_ms: grace_ms,
             electorate_ms,
-            orphans_ms,
+            orphaned_requests_ms,
             consent,
         } = self.settings;
         let mut voters = view.live.len();
         self.holders = view.live.iter().copied().collect();
         for (router, lost) in &self.lost {
             let lost_for_ms = now_ms.saturating_sub(lost.since_ms);
-            // A listed router may start anew where this one does not see it. Of one that is gone
-            // for good, consents can still be counted for so long.
-            let has_run_out = !view.known.contains(router)
+            // A listed router may restart without this one seeing it. The consents of a router that
+            // is gone for good can still be counted elsewhere for the handover time.
+            let is_expired = !view.known.contains(router)
                 && lost
                     .ended_ms
                     .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) >= consent.handover_ms());
-            voters += usize::from(lost_for_ms < electorate_ms && !has_run_out);
+            voters += usize::from(lost_for_ms < electorate_ms && !is_expired);
             if lost_for_ms < grace_ms {
-                self.orphans_until_ms = now_ms + orphans_ms;
+                self.orphaned_requests_until_ms = now_ms + orphaned_requests_ms;
                 if lost.ended_ms.is_none() {
                     self.holders.insert(*router);
                 }
@@ -291,14 +292,14 @@
         });
     }
 
-    /// Notes who is seen no longer, listed or not, and who has ended.
-    fn update_lost(&mut self, view: &CellView<'_>, now_ms: u64) {
+    /// Updates which known routers are not seen and which of them have ended.
+    fn update_lost_routers(&mut self, view: &CellView<'_>, now_ms: u64) {
         for router in view.live {
             self.lost.remove(router);
         }
         let known = view.known.iter().chain(&self.holders);
         for router in known.filter(|router| !view.live.contains(router)) {
-            let lost = self.lost.entry(*router).or_insert(Lost {
+            let lost = self.lost.entry(*router).or_insert(LostRouter {
                 since_ms: now_ms,
                 ended_ms: None,
             });
@@ -309,15 +310,16 @@
     }
 }
 
-/// What a steward needs to start.
-struct Start {
-    /// This router and those that may hold slots that it did not grant: all have to consent.
+/// Conditions for a steward to start granting slots.
+struct StartConditions {
+    /// This router and those that may hold slots that it did not grant. All have to consent.
     holders: BTreeSet<RouterId>,
-    /// Routers of whom most have to consent.
+    /// Number of routers of which a majority has to consent.
     electorate: usize,
     consent_ms: u64,
-    /// Routers lost lately, and when. What one held is known if it had just said so; else the
-    /// server has to have reported since, so that its requests count as unlisted ones.
+    /// Routers lost recently, with the time of the loss. A lost router's slots are known if its
+    /// list is recent. Otherwise the server has to have reported since the loss, so that the
+    /// router's requests count as unlisted ones.
     lost: Vec<(RouterId, u64)>,
 }
 
@@ -331,11 +333,11 @@
         self.consents.values().filter(fresh).count()
     }
 
-    /// Sees whether this router may grant: it starts when every possible holder has just
-    /// consented and said what it holds, and goes on while most consent.
-    fn settle(&mut self, start: &Start, now_ms: u64) {
-        let consent_ms = start.consent_ms;
-        let has_most = self.fresh_consents(consent_ms, now_ms) * 2 > start.electorate;
+    /// Updates whether this router may grant slots. It starts once every possible holder has
+    /// recently consented and listed its slots, and continues as long as a majority consents.
+    fn update_may_grant(&mut self, conditions: &StartConditions, now_ms: u64) {
+        let consent_ms = conditions.consent_ms;
+        let has_majority = self.fresh_consents(consent_ms, now_ms) * 2 > conditions.electorate;
         let is_fresh = |router: &RouterId| {
             self.consents
                 .get(router)
@@ -345,9 +347,10 @@
             self.reported_ms
                 .is_some_and(|reported_ms| reported_ms > lost_ms)
         };
-        let mut lost = start.lost.iter();
-        let is_counted = lost.all(|(router, at_ms)| is_fresh(router) || reported_after(*at_ms));
-        let may_start = is_counted && start.holders.iter().all(is_fresh);
-        self.is_whole = has_most && (self.is_whole || may_start);
+        let mut lost = conditions.lost.iter();
+        let are_lost_counted =
+            lost.all(|(router, at_ms)| is_fresh(router) || reported_after(*at_ms));
+        let can_start = are_lost_counted && conditions.holders.iter().all(is_fresh);
+        self.may_grant = has_majority && (self.may_grant || can_start);
     }
 }
--- a/crates/sapphiretrack-core/src/pause.rs
+++ b/crates/sapphiretrack-core/src/pause.rs
@@ -1,18 +1,18 @@
-//! Pauses of the control loop: a loop that stood still must not act on what it knew before.
+//! Detects pauses of the control loop, after which its view is outdated.
 
-/// A gap between two turns from which on the view counts as old.
+/// Time between two iterations of the control loop from which on it counts as paused.
 pub const MAX_TURN_GAP_MS: u64 = 1_000;
 
-/// Notices that the control loop stood still, for a stopped process as for a starved one.
+/// Detects that the control loop paused, because the process was stopped or got no CPU time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PauseWatch {
-    last_turn_ms: Option<u64>,
+    last_iteration_ms: Option<u64>,
 }
 
 impl PauseWatch {
-    /// Notes a turn of the loop; returns the length of the pause before it, if it was one.
+    /// Records an iteration of the loop; returns the length of the pause before it, if any.
     pub fn turn(&mut self, now_ms: u64) -> Option<u64> {
-        let last_ms = self.last_turn_ms.replace(now_ms)?;
+        let last_ms = self.last_iteration_ms.replace(now_ms)?;
         let gap_ms = now_ms.saturating_sub(last_ms);
         (gap_ms >= MAX_TURN_GAP_MS).then_some(gap_ms)
     }
--- a/crates/sapphiretrack-core/src/resignation.rs
+++ b/crates/sapphiretrack-core/src/resignation.rs
@@ -1,35 +1,36 @@
-//! When a leaving router gives up the counting of slots, for good.
+//! Resignation of a leaving router from its stewardships, which is final.
 
 use std::collections::BTreeMap;
 
 use crate::RouterId;
 
-/// A leaving router's way out of its stewardships.
+/// Resignation of a leaving router as steward.
 ///
-/// It goes on granting until each successor, itself not leaving, has seen that it leaves. So of
-/// routers that leave at the same time the last one never resigns. Once it has resigned it grants
-/// nothing in this run, whatever happens to the others.
+/// The router continues to grant slots until every successor, itself not leaving, has seen that
+/// this router is leaving. So if all routers leave, the last one never resigns. After resigning,
+/// the router grants nothing for the rest of its incarnation, even if all successors are lost.
 #[derive(Debug, Default)]
 pub struct Resignation {
-    /// The first heartbeat that said that this router is leaving.
+    /// Sequence number of the first heartbeat that announced that this router is leaving.
     leaving_from: Option<u64>,
-    /// The newest sequence number of this router that each peer has seen.
+    /// This router's last sequence number that each peer has seen.
     seen: BTreeMap<RouterId, u64>,
     has_resigned: bool,
 }
 
 impl Resignation {
-    /// Notes that a heartbeat with this sequence number says that this router is leaving.
+    /// Records that the heartbeat with this sequence number announces that this router is leaving.
     pub fn note_leaving(&mut self, sequence: u64) {
         self.leaving_from.get_or_insert(sequence);
     }
 
-    /// Notes which heartbeat of this router a peer had seen when it sent its last one.
+    /// Records the last heartbeat of this router that a peer reports to have seen.
     pub fn note_seen(&mut self, peer: RouterId, sequence: u64) {
         self.seen.insert(peer, sequence);
     }
 
-    /// Takes in who may count slots besides this router; tells whether it resigns just now.
+    /// Resigns if all other routers that may be stewards know that this router is leaving; returns
+    /// whether it resigned in this call.
     pub fn settle(&mut self, successors: &[RouterId]) -> bool {
         let Some(leaving_from) = self.leaving_from else {
             return false;
--- a/crates/sapphiretrack-core/src/stewardship.rs
+++ b/crates/sapphiretrack-core/src/stewardship.rs
@@ -1,19 +1,19 @@
-//! Which router each server's slots are asked of, and to whom this router gives its consent.
+//! Which router to ask for each server's slots, and to which router this one consents as steward.
 //!
-//! A steward grants only with the fresh consent of most routers of the cell. A router that
-//! changes its mind first lets its earlier consent run out, so that no two routers can hold
-//! the consent of most routers for the same server at the same time.
+//! A steward grants slots only with recent consent from a majority of the cell's routers. Before a
+//! router consents to another steward, it lets its earlier consent expire. So no two routers can
+//! have the consent of a majority for the same server at the same time.
 
 use std::collections::BTreeMap;
 
 use crate::{RouterId, ServerId};
 
-/// Times that rule consent; all routers of a cell need the same.
+/// Timing of consent; has to be the same on all routers of a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct ConsentSettings {
-    /// How long a heartbeat that names a steward lets that steward count the sender's consent.
+    /// How long a steward counts a router's consent after receiving the heartbeat that carries it.
     pub consent_ms: u64,
-    /// The longest time that a heartbeat may travel; later ones are taken as lost.
+    /// Maximum delay of a heartbeat; later ones are discarded.
     pub travel_ms: u64,
 }
 
@@ -27,99 +27,99 @@
 }
 
 impl ConsentSettings {
-    /// How long a router waits between naming one steward and naming another.
+    /// How long a router waits between its last consent to one steward and its first to another.
     pub fn handover_ms(&self) -> u64 {
         self.consent_ms + self.travel_ms
     }
 }
 
-/// The stewards that this router names.
+/// The stewards that this router consents to.
 #[derive(Debug)]
 pub struct StewardNames {
     settings: ConsentSettings,
-    servers: BTreeMap<ServerId, Named>,
+    consents: BTreeMap<ServerId, Consent>,
 }
 
-/// The last consent for a server.
+/// The last consent for a server, and the steward in the router's current view.
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct Consent {
     steward: RouterId,
     wanted: RouterId,
-    /// When the steward was last told; none if it cannot count this consent any more.
-    told_ms: Option<u64>,
+    /// When the consent was last sent; `None` if the steward cannot count it any more.
+    sent_ms: Option<u64>,
 }
 
 impl StewardNames {
-    /// Names nobody yet.
+    /// Creates a table without consents.
     pub fn new(settings: ConsentSettings) -> Self {
         Self {
             settings,
-            servers: BTreeMap::new(),
+            consents: BTreeMap::new(),
         }
     }
 
-    /// Takes in whom this router's view makes steward of a server.
+    /// Sets the steward of a server in this router's current view.
     ///
-    /// `may_begin` is false while the router has not yet seen most of its cell: then it
-    /// names nobody for a server that it named nobody for before.
+    /// `may_begin` is false while the router does not see a majority of its cell. Then it gives no
+    /// consent for a server that it has not consented for before.
     pub fn want(&mut self, server: ServerId, wanted: RouterId, may_begin: bool, now_ms: u64) {
         let handover_ms = self.settings.handover_ms();
-        let Some(named) = self.servers.get_mut(&server) else {
+        let Some(consent) = self.consents.get_mut(&server) else {
             if may_begin {
-                let named = Named {
+                let consent = Consent {
                     steward: wanted,
                     wanted,
-                    told_ms: Some(now_ms),
+                    sent_ms: Some(now_ms),
                 };
-                self.servers.insert(server, named);
+                self.consents.insert(server, consent);
             }
             return;
         };
-        named.wanted = wanted;
-        let runs_on = |told_ms: u64| now_ms.saturating_sub(told_ms) < handover_ms;
-        if named.steward != wanted && !named.told_ms.is_some_and(runs_on) {
-            named.steward = wanted;
+        consent.wanted = wanted;
+        let is_valid = |sent_ms: u64| now_ms.saturating_sub(sent_ms) < handover_ms;
+        if consent.steward != wanted && !consent.sent_ms.is_some_and(is_valid) {
+            consent.steward = wanted;
         }
     }
 
-    /// Notes that a router's run can grant nothing any more: it has ended or resigned. Consent to
-    /// it need not run out. Tells whether that changes anything.
+    /// Records that a router's incarnation has ended or resigned and can grant nothing any more, so
+    /// that consent to it does not have to expire. Returns whether this changes anything.
     ///
-    /// A later run of the router does not count what was sent to this one.
+    /// A later incarnation of the router does not count consent that was sent to an earlier one.
     pub fn release(&mut self, router: RouterId) -> bool {
-        let mut changes = false;
-        for named in self.servers.values_mut() {
-            if named.steward == router {
-                changes |= named.told_ms.take().is_some();
+        let mut is_changed = false;
+        for consent in self.consents.values_mut() {
+            if consent.steward == router {
+                is_changed |= consent.sent_ms.take().is_some();
             }
         }
-        changes
+        is_changed
     }
 
-    /// Forgets servers that are gone for good.
+    /// Removes the servers for which `keep` returns false.
     pub fn retain<Keep>(&mut self, keep: Keep)
     where
         Keep: Fn(ServerId) -> bool,
     {
-        self.servers.retain(|server, _| keep(*server));
+        self.consents.retain(|server, _| keep(*server));
     }
 
-    /// The router to ask for a slot.
+    /// The router to ask for a slot on a server.
     pub fn steward(&self, server: ServerId) -> Option<RouterId> {
-        self.servers.get(&server).map(|named| named.steward)
+        self.consents.get(&server).map(|consent| consent.steward)
     }
 
-    /// The router that this router consents to now; nobody while an earlier consent runs out.
+    /// The router that this router consents to now; `None` until an earlier consent has expired.
     pub fn consent(&self, server: ServerId) -> Option<RouterId> {
-        let named = self.servers.get(&server)?;
-        (named.steward == named.wanted).then_some(named.steward)
+        let consent = self.consents.get(&server)?;
+        (consent.steward == consent.wanted).then_some(consent.steward)
     }
 
-    /// Notes that a heartbeat with this router's consents goes to this steward.
+    /// Records that a heartbeat with this router's consents is sent to this steward.
     pub fn note_sent(&mut self, steward: RouterId, now_ms: u64) {
-        for named in self.servers.values_mut() {
-            if named.steward == steward && named.wanted == steward {
-                named.told_ms = Some(now_ms);
+        for consent in self.consents.values_mut() {
+            if consent.steward == steward && consent.wanted == steward {
+                consent.sent_ms = Some(now_ms);
             }
         }
     }
--- a/crates/sapphiretrack-core/src/stop.rs
+++ b/crates/sapphiretrack-core/src/stop.rs
@@ -1,29 +1,31 @@
-//! When a router on a planned stop may close its endpoints.
+//! Decides when a router that stops as planned may close its endpoints.
 
-/// How many times to live a router waits for a quiet one; callers that heed no lookup end it so.
+/// Maximum wait for requests to cease, in multiples of the lookup's time to live. It limits the
+/// wait for callers that do not respect the time to live.
 const MAX_QUIET_WAITS: u64 = 2;
 
-/// The times that a planned stop keeps to.
+/// Timing of a planned stop.
 ///
-/// Closing breaks connections on which a request is on its way, so it has to come when no caller
-/// that keeps to its lookups sends any more. The last lookup that names the router is answered by
-/// the peer that sees last of the stop.
+/// Closing the endpoints breaks connections on which a request may be arriving. So they are closed
+/// when callers that respect the time to live of a lookup no longer send requests. The last lookup
+/// that names the router is answered by the last peer to learn of the stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopTiming {
-    /// How long callers keep the addresses of a lookup.
+    /// How long callers use the addresses from a lookup.
     pub entry_ttl_ms: u64,
-    /// When each peer has seen the stop, or does not name this router any more.
+    /// Time after which every peer knows of the stop or no longer returns this router in lookups.
     pub unheard_for_ms: u64,
 }
 
 impl StopTiming {
-    /// Whether the endpoints may be closed, `quiet_ms` after the last request came.
+    /// Whether the endpoints may be closed `stopping_ms` after the start of the stop and `quiet_ms`
+    /// after the last request arrived.
     pub fn may_close(&self, stopping_ms: u64, quiet_ms: u64, in_flight: u64) -> bool {
-        let last_use_ms = self.unheard_for_ms + self.entry_ttl_ms;
-        if in_flight > 0 || stopping_ms < last_use_ms {
+        let last_lookup_expiry_ms = self.unheard_for_ms + self.entry_ttl_ms;
+        if in_flight > 0 || stopping_ms < last_lookup_expiry_ms {
             return false;
         }
-        let waited_ms = stopping_ms - last_use_ms;
+        let waited_ms = stopping_ms - last_lookup_expiry_ms;
         quiet_ms >= self.entry_ttl_ms || waited_ms >= MAX_QUIET_WAITS * self.entry_ttl_ms
     }
 }
