--- a/crates/sapphiretrack-core/src/cell.rs
+++ b/crates/sapphiretrack-core/src/cell.rs
@@ -1,4 +1,4 @@
-//! Cells: a workspace belongs to one or a few cells, a chat to one, a cell to its routers.
+//! Cells: assignment of workspaces and chats to cells, and of workspaces to a cell's routers.
 
 use crate::{ChatKey, RouterId, WorkspaceKey, rendezvous_score, top_by_rendezvous};
 
@@ -6,19 +6,19 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CellId(pub u64);
 
-/// A cell with its share of the region's work.
+/// A cell and its weight in the region.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
-    /// Which.
+    /// The cell.
     pub id: CellId,
-    /// Its weight, by the number of its backend servers; a cell of weight 0 takes nothing new.
+    /// Its weight, from the number of its backend servers; a cell of weight 0 takes no new work.
     pub weight: f64,
 }
 
-/// The cells of a workspace, `count` of them at most, the first choice first.
+/// The cells of a workspace: at most `count`, in order of preference.
 ///
-/// A cell that joins takes over only its own share of the workspaces; one that leaves gives its
-/// share to the next choice of each.
+/// A cell that joins takes over only its share of the workspaces. If a cell leaves, each of its
+/// workspaces moves to its next choice.
 pub fn cells_of_workspace(workspace: WorkspaceKey, cells: &[Cell], count: usize) -> Vec<CellId> {
     let open: Vec<Cell> = cells
         .iter()
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// The cell of a chat, among those of its workspace.
+/// The cell of a chat, chosen from its workspace's cells.
 pub fn cell_of_chat(chat: ChatKey, workspace_cells: &[CellId]) -> Option<CellId> {
     workspace_cells.iter().copied().max_by(|a, b| {
         rendezvous_score(chat.0, a.0, 1.0)
@@ -40,7 +40,7 @@
     })
 }
 
-/// The routers of a cell in the order in which a workspace's callers try them.
+/// At most `count` routers of a cell, in the order in which a workspace's callers try them.
 pub fn routers_of_workspace(
     workspace: WorkspaceKey,
     routers: &[RouterId],
--- a/crates/sapphiretrack-core/src/change.rs
+++ b/crates/sapphiretrack-core/src/change.rs
@@ -1,23 +1,23 @@
-//! Changes of the configuration, as operators make them and as the history keeps them.
+//! Configuration changes, as submitted by operators and as recorded in the history.
 
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
 
 use crate::Contract;
 
-/// The longest change id or server name that an operator may give.
+/// Maximum length of a plain name: a change id, or the name of a server, customer, pool or class.
 const MAX_NAME_BYTES: usize = 64;
 
-/// What an operator changes.
+/// A change of the fleet's configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Sets a customer's contract, if its version is still the one that the operator saw.
+    /// Sets a customer's contract if it has not changed since the operator read it.
     Contract {
         /// The contract.
         contract: Box<Contract>,
-        /// The configuration version at which the operator saw the contract change last; 0 for
-        /// a new one.
+        /// The configuration version of the contract's last change that the operator saw; 0 for
+        /// a new contract.
         seen_version: u64,
     },
     /// Starts or ends the drain of a backend server.
@@ -27,29 +27,29 @@
         /// Whether it drains.
         draining: bool,
     },
-    /// A router wrote back what it held after the platform had lost it; nothing else changed.
+    /// A router wrote its configuration back after the platform had lost it; nothing else changed.
     Republished {
-        /// The version that the router held.
+        /// The configuration version that the router held.
         held_version: u64,
     },
 }
 
-/// A line of the history of changes.
+/// An entry of the change history.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HistoryEntry {
-    /// The configuration version that the change made.
+    /// The configuration version that the change created.
     pub version: u64,
     /// The change's id.
     pub change_id: String,
-    /// Which operator made it.
+    /// The operator who made the change.
     pub operator: String,
-    /// When, by the wall clock of the router that wrote it; only for people to read.
+    /// When it was recorded, by the wall clock of the recording router; informational only.
     pub at_ms: u64,
-    /// What it changed.
+    /// The change.
     pub change: Change,
 }
 
-/// Why a name cannot be part of a row's key.
+/// A name that cannot be part of a row's key.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display(
     "{what} {name:?} cannot be used; hint: use 1 to 64 letters, digits, `-`, `_` or `.`"
@@ -59,17 +59,17 @@
     name: String,
 }
 
-/// Checks a change's id.
+/// Checks that a change id can be part of a row's key.
 pub fn check_change_id(change_id: &str) -> Result<(), NameError> {
     check_name("the change id", change_id)
 }
 
-/// Checks a backend server's name.
+/// Checks that a backend server's name can be part of a row's key.
 pub fn check_server_name(server: &str) -> Result<(), NameError> {
     check_name("the server name", server)
 }
 
-/// Whether a name is short and made of letters, digits, `-`, `_` and `.` only.
+/// Whether a name has 1 to [`MAX_NAME_BYTES`] letters, digits, `-`, `_` and `.` only.
 pub(crate) fn is_plain_name(name: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(plain)
--- a/crates/sapphiretrack-core/src/config.rs
+++ b/crates/sapphiretrack-core/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the fleet: all contracts and planned drains under one version.
+//! The fleet's configuration: all contracts and planned drains under one version.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,33 +9,35 @@
 use crate::shared_tables::{self, SharedTables};
 use crate::{Change, Contract, HistoryEntry, ServerId};
 
-/// How many of the last changes a configuration carries along.
+/// Number of recent changes kept in a configuration.
 const RECENT_CHANGES: usize = 64;
 
-/// How far a republished configuration's version is above the one that a router held.
+/// Distance of a republished configuration's version from the one that a router held.
 ///
-/// Routers that nobody has seen may hold some versions more; none of those is used a second time
-/// as long as they are fewer than this.
+/// Routers that are not seen may hold later versions. None of those numbers is assigned twice as
+/// long as there are fewer of them than this.
 pub const REPUBLISH_STEP: u64 = 1_000;
 
-/// All that operators have set, under one version.
+/// Everything that operators have configured, under one version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FleetConfig {
-    /// Rises with each accepted change; 0 before the first.
+    /// Increases with each accepted change; 0 before the first.
     pub version: u64,
-    /// The contract of each customer, by customer name.
+    /// Contracts by customer name.
     #[serde(deserialize_with = "shared_tables::deserialize")]
     pub contracts: BTreeMap<String, Arc<Contract>>,
-    /// The names of backend servers that operators are draining.
+    /// Names of the backend servers that operators are draining.
     pub draining: BTreeSet<String>,
-    /// The last changes, the oldest first: for peers a few versions behind, and for the platform
-    /// if it loses them.
+    /// The last changes, oldest first: sent to peers that are a few versions behind, and to the
+    /// platform if it loses them.
     #[serde(default)]
     pub recent: VecDeque<Arc<HistoryEntry>>,
 }
 
 impl FleetConfig {
-    /// Keeps equal tables of the contracts once; for one that was not read as a whole.
+    /// Shares equal tables between the contracts.
+    ///
+    /// Deserialization already does this; call it on a configuration built in another way.
     pub fn share_tables(&mut self) {
         let mut tables = SharedTables::default();
         for contract in self.contracts.values_mut() {
@@ -43,20 +45,20 @@
         }
     }
 
-    /// Whether an operator is draining this backend server.
+    /// Whether operators are draining this backend server.
     pub fn is_draining(&self, server: ServerId) -> bool {
         self.draining
             .iter()
             .any(|name| ServerId::from_name(name) == server)
     }
 
-    /// The configuration after the next change; none if the change does not follow on this one.
+    /// The configuration after the next change; `None` if the change does not follow this version.
     pub fn after(&self, entry: &Arc<HistoryEntry>) -> Option<Self> {
-        let follows = match &entry.change {
+        let follows_current = match &entry.change {
             Change::Republished { held_version } => *held_version == self.version,
             _ => entry.version == self.version + 1,
         };
-        if !follows || entry.version <= self.version {
+        if !follows_current || entry.version <= self.version {
             return None;
         }
         let mut next = self.clone();
@@ -89,7 +91,7 @@
         Some(next)
     }
 
-    /// The configuration after a row of changes; none if one of them does not follow.
+    /// The configuration after a sequence of changes; `None` if there is a gap.
     pub fn after_all(&self, entries: &[Arc<HistoryEntry>]) -> Option<Self> {
         let Some((first, rest)) = entries.split_first() else {
             return Some(self.clone());
@@ -99,33 +101,33 @@
             .try_fold(first, |config, entry| config.after(entry))
     }
 
-    /// The changes that lead from an older version to this one, if they are still known.
+    /// The changes from an older version to this one, if they are still in [`Self::recent`].
     ///
-    /// The older version is known by its change as well: a restored platform may have given its
-    /// number to another one.
+    /// The older version is identified by its change id as well, since a platform restored from a
+    /// backup may have reused the number.
     pub fn changes_since(&self, version: u64, change_id: &str) -> Option<Vec<Arc<HistoryEntry>>> {
-        let known =
+        let is_known_version =
             |entry: &Arc<HistoryEntry>| entry.version == version && entry.change_id == change_id;
-        let position = self.recent.iter().position(known)?;
+        let position = self.recent.iter().position(is_known_version)?;
         Some(self.recent.iter().skip(position + 1).cloned().collect())
     }
 
-    /// The id of the change that made this version; empty if it is not known.
+    /// The id of the change that created this version; empty if unknown.
     pub fn last_change_id(&self) -> &str {
         self.recent.back().map_or("", |entry| &entry.change_id)
     }
 }
 
-/// What came of a configuration that was offered.
+/// The result of offering a configuration to a router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refreshed {
-    /// It was newer and is now in force.
+    /// The configuration was newer and is now in force.
     InForce,
-    /// It was not newer and was dropped.
+    /// The configuration was not newer and was ignored.
     Kept,
 }
 
-/// Takes an offered configuration only if it is newer: a version never goes back.
+/// Replaces the current configuration only by a newer one, so that the version never decreases.
 pub fn newer_config(
     current: &mut Arc<FleetConfig>,
     offered: impl Into<Arc<FleetConfig>>,
@@ -138,14 +140,14 @@
     Refreshed::InForce
 }
 
-/// Finds the contract of a key without looking through all contracts.
+/// Index of contracts by caller key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
     by_digest: HashMap<[u8; 32], Arc<Contract>>,
 }
 
 impl KeyIndex {
-    /// The index of a configuration; build it once when the configuration comes into force.
+    /// Builds the index of a configuration; do this once when the configuration takes effect.
     pub fn new(config: &FleetConfig) -> Self {
         let mut by_digest = HashMap::with_capacity(config.contracts.len());
         for contract in config.contracts.values() {
@@ -158,14 +160,14 @@
         Self { by_digest }
     }
 
-    /// The contract that lists a caller's key.
+    /// The contract that lists a caller's key, if any.
     pub fn contract_of_key(&self, key: &str) -> Option<&Arc<Contract>> {
         let digest: [u8; 32] = Sha256::digest(key.as_bytes()).into();
         self.by_digest.get(&digest)
     }
 }
 
-/// Reads a SHA-256 written as 64 hex digits.
+/// Parses a SHA-256 digest of 64 hex digits.
 fn parse_digest(text: &str) -> Option<[u8; 32]> {
     let mut digest = [0; 32];
     if text.len() != 2 * digest.len() || !text.is_ascii() {
--- a/crates/sapphiretrack-core/src/contract.rs
+++ b/crates/sapphiretrack-core/src/contract.rs
@@ -1,4 +1,4 @@
-//! Contracts: what a customer may place, how urgent it is, and what may never run twice.
+//! Contracts: a customer's limits, request classes, and requests that run at most once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,72 +16,72 @@
 pub struct Contract {
     /// The customer's name, unique in the fleet.
     pub customer: String,
-    /// SHA-256 of each key that the customer's callers may use, as lower-case hex.
+    /// SHA-256 digests of the customer's caller keys, in lower-case hex.
     pub caller_keys_sha256: Vec<String>,
-    /// The pools that the customer may use: models and plain services by name.
+    /// Names of the pools that the customer may use: models and plain services.
     pub pools: Arc<BTreeSet<String>>,
-    /// The class of requests that name none.
+    /// The class of requests that do not name one.
     pub default_class: String,
-    /// How much work the customer may place.
+    /// Limits of the customer's requests.
     pub limits: Limits,
-    /// How urgent each kind of request is.
+    /// Request classes by name.
     pub classes: Arc<BTreeMap<String, ClassPolicy>>,
-    /// Which requests are non-idempotent: they run at most once.
+    /// Rules for non-idempotent requests, which run at most once.
     #[serde(default)]
     pub non_idempotent: Vec<NonIdempotentRule>,
 }
 
-/// How much work a customer may place across the whole fleet.
+/// Limits of a customer's requests across the whole fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second, on average.
+    /// Average requests per second.
     pub requests_per_s: f64,
-    /// Prompt and generated tokens a second, on average.
+    /// Average prompt and generated tokens per second.
     pub tokens_per_s: f64,
-    /// How many seconds' worth may come at once.
+    /// Allowed burst, in seconds of the average rate.
     #[serde(default = "default_burst_s")]
     pub burst_s: f64,
-    /// Requests in flight at a time.
+    /// Maximum number of requests in flight.
     pub in_flight: u32,
 }
 
-/// How urgent a class of requests is.
+/// Urgency of a request class.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassPolicy {
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// When the whole answer is late.
+    /// Time until the complete answer is due, in milliseconds.
     pub deadline_ms: u64,
-    /// The part of a server's load bound that the class may fill, above 0 and up to 1.
+    /// Fraction of a server's load bound that the class may fill, above 0 and up to 1.
     #[serde(default = "default_bound_share")]
     pub bound_share: f64,
 }
 
-/// Marks requests of a pool as non-idempotent.
+/// Marks requests to a pool as non-idempotent.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct NonIdempotentRule {
-    /// The pool.
+    /// The pool's name.
     pub pool: String,
-    /// The start of the paths that are meant; empty for all.
+    /// Prefix of the paths that the rule applies to; empty for all paths.
     #[serde(default)]
     pub path_prefix: String,
-    /// Whether a caller may leave the idempotency key out: the request is then sent once.
+    /// Whether the idempotency key may be omitted; the request is then sent only once.
     #[serde(default)]
     pub key_optional: bool,
 }
 
 impl Contract {
-    /// The rule for a request, if it is non-idempotent.
+    /// The rule that applies to a request; `None` if the request is idempotent.
     pub fn non_idempotent_rule(&self, pool: &str, path: &str) -> Option<&NonIdempotentRule> {
         self.non_idempotent
             .iter()
             .find(|rule| rule.pool == pool && prefix_covers(&rule.path_prefix, path))
     }
 
-    /// The policy of a class, or of the default class for none.
+    /// The name and policy of a class; of the default class if `name` is `None`.
     pub fn class<'a>(&'a self, name: Option<&'a str>) -> Option<(&'a str, &'a ClassPolicy)> {
         let name = name.unwrap_or(&self.default_class);
         self.classes
@@ -90,30 +90,30 @@
     }
 }
 
-/// Why a contract is refused.
+/// Why a contract is rejected.
 #[derive(Debug, Snafu)]
 pub enum ContractError {
-    /// The text is not TOML, or has an unknown or ill-typed key; the source names the line.
+    /// The text is not valid TOML, or a key is unknown or has the wrong type.
     #[snafu(display(
         "the contract cannot be read: {source}; hint: see docs/operators/contracts.md"
     ))]
     Syntax {
-        /// Where and what.
+        /// The parse error with its line.
         source: toml::de::Error,
     },
     /// A value is out of range.
     #[snafu(display("`{field}` {problem}; hint: {hint}"))]
     Value {
-        /// The key.
+        /// The key with the invalid value.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         problem: String,
-        /// What would be right.
+        /// How to correct it.
         hint: &'static str,
     },
 }
 
-/// Reads and checks a contract.
+/// Parses and validates a contract.
 pub fn parse_contract(text: &str) -> Result<Contract, ContractError> {
     let contract: Contract = toml::from_str(text).context(SyntaxSnafu)?;
     check_names(&contract)?;
@@ -122,7 +122,7 @@
     Ok(contract)
 }
 
-/// SHA-256 of a key as lower-case hex.
+/// The SHA-256 digest of a key in lower-case hex.
 pub fn sha256_hex(text: &str) -> String {
     Sha256::digest(text.as_bytes())
         .iter()
@@ -130,7 +130,7 @@
         .collect()
 }
 
-/// What differs between two contracts: a line for each field, as `field: old -> new`.
+/// The differences between two contracts: one line per field, as `field: old -> new`.
 pub fn contract_differences(old: &Contract, new: &Contract) -> Vec<String> {
     let mut differences = Vec::new();
     let table = |contract| toml::Value::try_from(contract).ok();
--- a/crates/sapphiretrack-core/src/entry.rs
+++ b/crates/sapphiretrack-core/src/entry.rs
@@ -1,27 +1,28 @@
-//! Which routers a caller is told to connect to.
+//! Selects the router addresses that a lookup returns to a caller.
 
 use std::net::SocketAddr;
 
 use crate::{RouterId, VmState, rendezvous_score};
 
-/// The most addresses of a lookup.
+/// Maximum number of addresses returned by a lookup.
 const MAX_ADDRESSES: usize = 3;
 
-/// A router that a lookup may name.
+/// A router that a lookup may return.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryCandidate<'a> {
-    /// Who.
+    /// The router's id.
     pub id: RouterId,
     /// Its availability zone.
     pub zone: &'a str,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: VmState,
 }
 
-/// The addresses for a caller: routers of its availability zone first, spread by `spread`, and
-/// never one that is leaving.
+/// The addresses for a caller: routers of its availability zone first, leaving ones excluded.
+///
+/// `spread` is the hash key that orders routers of equal rank, to distribute callers over them.
 pub fn entry_addresses(
     candidates: &[EntryCandidate<'_>],
     zone: Option<&str>,
@@ -32,9 +33,9 @@
         .filter(|router| router.state == VmState::Live)
         .collect();
     routers.sort_by(|a, b| {
-        let a_near = zone == Some(a.zone);
-        let b_near = zone == Some(b.zone);
-        b_near.cmp(&a_near).then_with(|| {
+        let a_in_zone = zone == Some(a.zone);
+        let b_in_zone = zone == Some(b.zone);
+        b_in_zone.cmp(&a_in_zone).then_with(|| {
             rendezvous_score(spread, b.id.0, 1.0).total_cmp(&rendezvous_score(spread, a.id.0, 1.0))
         })
     });
--- a/crates/sapphiretrack-core/src/flap.rs
+++ b/crates/sapphiretrack-core/src/flap.rs
@@ -1,13 +1,14 @@
-//! Flap damping: what goes down again and again is used later after each return.
+//! Flap damping: a VM that fails repeatedly is held back longer after each return.
 
-/// Times that rule the damping.
+/// Times for flap damping.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damping {
-    /// How long the second return within the memory is held back; it doubles with each more.
+    /// How long a VM is held back after its second remembered failure; doubles with each further
+    /// one.
     pub hold_ms: u64,
-    /// The longest hold.
+    /// Maximum time to hold a VM back.
     pub max_hold_ms: u64,
-    /// Downs are forgotten after so long a time up.
+    /// Earlier failures are forgotten after the VM was up for this long.
     pub forget_after_ms: u64,
 }
 
@@ -21,41 +22,41 @@
     }
 }
 
-/// The ups and downs of one VM. A single down costs nothing beyond itself.
+/// The failures of one VM. After a single failure the VM is used again at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Flaps {
-    downs: u32,
-    down: bool,
+    failures: u32,
+    is_down: bool,
     up_since_ms: u64,
 }
 
 impl Flaps {
-    /// Takes in whether the VM is up now.
+    /// Records whether the VM is up now.
     pub fn note(&mut self, up: bool, damping: &Damping, now_ms: u64) {
-        if up && self.down {
+        if up && self.is_down {
             self.up_since_ms = now_ms;
         }
         if up && self.up_for_ms(now_ms) >= damping.forget_after_ms {
-            self.downs = 0;
+            self.failures = 0;
         }
-        if !up && !self.down {
-            self.downs = self.downs.saturating_add(1);
+        if !up && !self.is_down {
+            self.failures = self.failures.saturating_add(1);
         }
-        self.down = !up;
+        self.is_down = !up;
     }
 
-    /// Whether the VM is up and no longer held back.
+    /// Whether the VM is up and not held back.
     pub fn is_usable(&self, damping: &Damping, now_ms: u64) -> bool {
-        !self.down && self.up_for_ms(now_ms) >= self.hold_ms(damping)
+        !self.is_down && self.up_for_ms(now_ms) >= self.hold_ms(damping)
     }
 
     /// How long the VM has to stay up before it is used again.
     pub fn hold_ms(&self, damping: &Damping) -> u64 {
         const MAX_DOUBLINGS: u32 = 20;
-        if self.downs < 2 {
+        if self.failures < 2 {
             return 0;
         }
-        let doublings = (self.downs - 2).min(MAX_DOUBLINGS);
+        let doublings = (self.failures - 2).min(MAX_DOUBLINGS);
         (damping.hold_ms << doublings).min(damping.max_hold_ms)
     }
 
--- a/crates/sapphiretrack-core/src/ids.rs
+++ b/crates/sapphiretrack-core/src/ids.rs
@@ -8,7 +8,7 @@
 pub struct RouterId(pub u64);
 
 impl RouterId {
-    /// The id of the router of this name.
+    /// The id of the router with this name.
     pub fn from_name(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
@@ -19,13 +19,13 @@
 pub struct ServerId(pub u64);
 
 impl ServerId {
-    /// The id of the backend server of this name.
+    /// The id of the backend server with this name.
     pub fn from_name(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
 }
 
-/// Identifies a workspace of one customer.
+/// Identifies a workspace of a customer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct WorkspaceKey(pub u64);
 
@@ -41,19 +41,19 @@
 pub struct ChatKey(pub u64);
 
 impl ChatKey {
-    /// The key of a chat by the id that its caller gave, or by the chat's opening text.
+    /// The key of a chat from the caller's chat id, or from the chat's opening text without one.
     pub fn new(workspace: WorkspaceKey, chat: &str) -> Self {
         Self(hash_parts(&[&workspace.0.to_le_bytes(), chat.as_bytes()]))
     }
 }
 
-/// Identifies one slot reservation; unique for an incarnation of the router that asked.
+/// Identifies a slot reservation; unique within an incarnation of the requesting router.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ReservationId(pub u32);
 
 impl ReservationId {
-    /// Whether this id was drawn at or after `next`; ids wrap around, so that one half of them
-    /// counts as later and the other as earlier.
+    /// Whether this id is `next` or a later one. Ids wrap around: the half of them from `next` on
+    /// counts as later, the other half as earlier.
     pub fn is_at_or_after(self, next: u32) -> bool {
         self.0.wrapping_sub(next) <= u32::MAX / 2
     }
@@ -69,7 +69,8 @@
     }
 }
 
-/// Hashes parts so that no two different splits collide by concatenation.
+/// Hashes a sequence of parts, each with its length, so that different splits of the same bytes
+/// have different hashes.
 pub fn hash_parts(parts: &[&[u8]]) -> u64 {
     let mut hasher = Xxh3::new();
     for part in parts {
--- a/crates/sapphiretrack-core/src/membership.rs
+++ b/crates/sapphiretrack-core/src/membership.rs
@@ -1,4 +1,4 @@
-//! Views of the VMs: routers and backend servers as one router sees them.
+//! A router's view of the VMs: routers and backend servers.
 
 use std::net::SocketAddr;
 
@@ -6,24 +6,24 @@
 
 use crate::{RouterId, ServerId, rendezvous_score};
 
-/// Tells two runs of a VM of the same name apart; drawn at start, larger is later.
+/// Distinguishes runs of a VM of the same name; set at startup, larger for a later run.
 pub type Incarnation = u64;
 
 /// The incarnation of a server that has not reported yet.
 pub const UNKNOWN_INCARNATION: Incarnation = 0;
 
-/// A line of the platform's list of VMs.
+/// An entry of the platform's list of VMs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct VmRecord {
     /// The VM's name.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where it serves: callers for a router, requests for a backend server.
+    /// Its service address: for callers of a router, for requests to a backend server.
     pub address: SocketAddr,
     /// What runs on it.
     pub role: VmRole,
-    /// Whether it is leaving.
+    /// Whether it is live or leaving.
     pub state: VmState,
 }
 
@@ -33,9 +33,9 @@
 pub enum VmRole {
     /// A router of the fleet.
     Router {
-        /// Where its peers reach it.
+        /// Address for peers.
         peer_address: SocketAddr,
-        /// Where operators reach it.
+        /// Address for operators.
         operator_address: SocketAddr,
     },
     /// A backend server.
@@ -53,85 +53,85 @@
 pub enum PoolKind {
     /// A model, on engines with a prefix cache.
     Engine,
-    /// A plain service, without a cache.
+    /// A plain service, without a prefix cache.
     Service,
 }
 
-/// Whether a VM takes new work.
+/// Whether a VM accepts new work.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It does.
+    /// It accepts new work.
     Live,
-    /// It is on its way out and gets no new work; this outranks live for an incarnation.
+    /// It is shutting down and gets no new work; final for an incarnation, so it overrides `Live`.
     Leaving,
 }
 
-/// The load that a backend server reports, with a lag.
+/// The load that a backend server reports; it arrives with a delay.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Tells a restarted server, whose cache is empty, from the one before.
+    /// The server's incarnation; a new one shows a restart, after which the cache is empty.
     pub incarnation: Incarnation,
-    /// Requests in a batch.
+    /// Requests being processed in a batch.
     pub running: u32,
-    /// Requests that wait for one.
+    /// Requests waiting for a batch.
     pub queued: u32,
-    /// Prompt tokens that are not yet computed.
+    /// Prompt tokens that are not computed yet.
     pub queued_prompt_tokens: u64,
-    /// Whether the server says that it is leaving.
+    /// Whether the server announces that it is leaving.
     pub leaving: bool,
 }
 
 /// A router as this router sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterView {
-    /// Who.
+    /// The router's id.
     pub id: RouterId,
     /// Its name.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator_address: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: VmState,
-    /// The configuration version that it has in force, as last seen.
+    /// The configuration version in force there, as last seen.
     pub config_version: u64,
 }
 
 /// A backend server as this router sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
-    /// Who.
+    /// The server's id.
     pub id: ServerId,
     /// Its name.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: VmState,
-    /// Requests in flight there by all routers, as last seen.
+    /// Requests in flight there from all routers, as last seen.
     pub in_flight: u32,
     /// Its last load report.
     pub report: LoadReport,
-    /// Which router counts its slots.
+    /// The router that counts its slots.
     pub steward: RouterId,
-    /// Whether it has joined just now: it counts for the load bound, but takes no requests until
-    /// all routers can have seen it.
+    /// Whether it has just joined. It then counts for the load bound, but gets no requests until
+    /// all routers have had time to see it.
     pub is_joining: bool,
-    /// Prompt tokens that it has yet to compute, as far as this router knows.
+    /// Prompt tokens that it still has to compute, as estimated by this router.
     pub backlog_tokens: u64,
 }
 
 impl ServerView {
-    /// Whether new requests may go there.
+    /// Whether new requests may be sent to it.
     pub fn is_open(&self) -> bool {
         self.state == VmState::Live && !self.is_joining
     }
@@ -142,19 +142,19 @@
 pub struct PoolView {
     /// The model or service name.
     pub name: String,
-    /// What it serves.
+    /// What the pool serves.
     pub kind: PoolKind,
-    /// Its backend servers that are not gone, live and leaving.
+    /// Its live and leaving backend servers.
     pub servers: Vec<ServerView>,
 }
 
 impl PoolView {
-    /// Requests in flight on the pool by all routers, as last seen.
+    /// Requests in flight on the pool from all routers, as last seen.
     pub fn in_flight(&self) -> u32 {
         self.servers.iter().map(|server| server.in_flight).sum()
     }
 
-    /// How many servers take new work.
+    /// Number of live servers, including joining ones.
     pub fn live_count(&self) -> u32 {
         self.servers
             .iter()
@@ -162,19 +162,19 @@
             .count() as u32
     }
 
-    /// How many servers take requests already.
+    /// Number of servers that accept requests.
     pub fn open_count(&self) -> u32 {
         let open = self.servers.iter().filter(|server| server.is_open());
         open.count() as u32
     }
 
-    /// The server of this id.
+    /// The server with this id.
     pub fn server(&self, id: ServerId) -> Option<&ServerView> {
         self.servers.iter().find(|server| server.id == id)
     }
 }
 
-/// The router that counts a server's slots: rendezvous over the live routers.
+/// The router that counts a server's slots, by rendezvous hashing over the live routers.
 pub fn steward_of(server: ServerId, live_routers: &[RouterId]) -> Option<RouterId> {
     live_routers.iter().copied().max_by(|a, b| {
         rendezvous_score(server.0, a.0, 1.0)
--- a/crates/sapphiretrack-core/src/peer_heartbeat.rs
+++ b/crates/sapphiretrack-core/src/peer_heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat says about its sender.
+//! The part of a heartbeat that describes its sender.
 
 use std::net::SocketAddr;
 
@@ -6,50 +6,51 @@
 
 use crate::{Incarnation, RosterChange, RouterId, VmState};
 
-/// What seldom changes about a router; it travels only to peers that do not have it.
+/// Properties of a router that rarely change; sent only to peers that do not know them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterProfile {
     /// Its name.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator_address: SocketAddr,
 }
 
-/// What a heartbeat says about its sender.
+/// The part of a heartbeat that describes its sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerHeartbeat {
-    /// Who.
+    /// The sender's id.
     pub router: RouterId,
-    /// Which run of it.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Rises with each heartbeat of an incarnation.
+    /// Increases with each heartbeat of an incarnation.
     pub sequence: u64,
-    /// Whether it takes new work.
+    /// Whether the sender accepts new work.
     pub state: VmState,
-    /// Whether it grants no slot any more in this run.
+    /// Whether the sender has resigned as steward and grants no more slots in this incarnation.
     pub has_resigned: bool,
-    /// The configuration version that it has in force.
+    /// The sender's configuration version in force.
     pub config_version: u64,
-    /// Its profile, if it was sent along.
+    /// The sender's profile, if included.
     pub profile: Option<RouterProfile>,
 }
 
-/// What came of a heartbeat.
+/// The result of processing a heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum HeartbeatTaken {
-    /// It was taken in.
+    /// The heartbeat was accepted.
     Taken {
-        /// What is worth an event.
+        /// The change to log, if any.
         change: Option<RosterChange>,
     },
-    /// It is older than one that was taken in before: replayed, late, or of an earlier run.
+    /// The heartbeat is not newer than an accepted one: it is replayed, late, or from an earlier
+    /// incarnation. Also returned for this router's own heartbeats.
     Stale,
-    /// The sender's profile is not known: it has to send it along.
+    /// The sender's profile is not known and has to be included in its next heartbeat.
     NeedsProfile,
 }
--- a/crates/sapphiretrack-core/src/peer_roster.rs
+++ b/crates/sapphiretrack-core/src/peer_roster.rs
@@ -1,4 +1,4 @@
-//! Which routers there are in the cell, merged from heartbeats and the platform's list.
+//! The routers of the cell, merged from heartbeats and the platform's list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,97 +8,97 @@
     RouterProfile, VmRecord, VmRole, VmState,
 };
 
-/// Routers whose last heartbeat is remembered after they are gone, so that a replay of it does
-/// not bring them back.
+/// Maximum number of routers whose last heartbeat is remembered, so that a replay of it does not
+/// add a lost router again. Also the maximum number of introduced routers.
 const MAX_REMEMBERED: usize = 1_024;
-/// How long a lost router is told to peers.
-const TELL_LOST_MS: u64 = 1_000;
+/// How long a lost router is announced to peers.
+const ANNOUNCE_LOST_MS: u64 = 1_000;
 
-/// Times that rule the roster.
+/// Timing of the roster.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerRosterSettings {
-    /// A peer that is silent for so long is dead.
+    /// Time without a heartbeat after which a peer counts as dead.
     pub dead_after_ms: u64,
-    /// How long a returning peer is held back from stewardship.
+    /// Flap damping: how long a returning peer is held back from stewardship.
     pub damping: Damping,
 }
 
-/// A peer that is seen.
+/// A peer whose heartbeats are received.
 #[derive(Clone, Debug)]
 pub struct RosterPeer {
-    /// Its profile.
+    /// The peer's profile.
     pub profile: RouterProfile,
-    /// The configuration version that it had in force, as last seen.
+    /// The peer's configuration version in force, as last seen.
     pub config_version: u64,
     seen_ms: u64,
-    /// When it last answered a call of this router, or was first seen.
+    /// When the peer last answered a call of this router, or was first seen.
     answered_ms: u64,
     state: VmState,
     has_resigned: bool,
 }
 
-/// What is remembered of a router, seen or gone.
+/// The record of a router, kept after it is lost.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trace {
+struct RouterRecord {
     incarnation: Incarnation,
     sequence: u64,
-    /// The newest incarnation that is leaving.
-    left: Option<Incarnation>,
-    /// When it was last lost.
+    /// The latest incarnation known to be leaving.
+    leaving_incarnation: Option<Incarnation>,
+    /// When the router was last lost.
     lost_ms: Option<u64>,
     flaps: Flaps,
     seen_ms: u64,
 }
 
-/// All peers of one router.
+/// The peers of one router.
 #[derive(Debug)]
 pub struct PeerRoster {
     settings: PeerRosterSettings,
     me: RouterId,
     peers: BTreeMap<RouterId, RosterPeer>,
-    traces: BTreeMap<RouterId, Trace>,
+    records: BTreeMap<RouterId, RouterRecord>,
     listed: BTreeMap<RouterId, ListedRouter>,
-    /// Routers that a peer told of and that are not seen yet.
+    /// Addresses of routers that a peer reported and that were not seen yet.
     introduced: BTreeMap<RouterId, SocketAddr>,
     seen_ms: u64,
 }
 
-/// A router as the platform lists it.
+/// A router in the platform's list.
 #[derive(Clone, Debug)]
 pub struct ListedRouter {
-    /// Its line of the list.
+    /// Its entry in the list.
     pub record: VmRecord,
-    /// Where its peers reach it.
+    /// Address for peers.
     pub peer_address: SocketAddr,
     since_ms: u64,
     refused: bool,
 }
 
 impl PeerRoster {
-    /// An empty roster of the router `me`.
+    /// Creates an empty roster for the router `me`.
     pub fn new(me: RouterId, settings: PeerRosterSettings) -> Self {
         Self {
             settings,
             me,
             peers: BTreeMap::new(),
-            traces: BTreeMap::new(),
+            records: BTreeMap::new(),
             listed: BTreeMap::new(),
             introduced: BTreeMap::new(),
             seen_ms: 0,
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Processes a heartbeat.
     pub fn take_heartbeat(&mut self, heartbeat: &PeerHeartbeat, now_ms: u64) -> HeartbeatTaken {
         if heartbeat.router == self.me {
             return HeartbeatTaken::Stale;
         }
-        let trace = self.traces.entry(heartbeat.router).or_default();
-        if (heartbeat.incarnation, heartbeat.sequence) <= (trace.incarnation, trace.sequence) {
+        let record = self.records.entry(heartbeat.router).or_default();
+        if (heartbeat.incarnation, heartbeat.sequence) <= (record.incarnation, record.sequence) {
             return HeartbeatTaken::Stale;
         }
         let known = self.peers.get(&heartbeat.router);
-        let restarted = heartbeat.incarnation != trace.incarnation;
+        let restarted = heartbeat.incarnation != record.incarnation;
         let Some(profile) = heartbeat.profile.clone().or_else(|| {
             known
                 .filter(|_| !restarted)
@@ -107,20 +107,20 @@
             return HeartbeatTaken::NeedsProfile;
         };
         if restarted && known.is_some() {
-            trace.flaps.note(false, &self.settings.damping, now_ms);
+            record.flaps.note(false, &self.settings.damping, now_ms);
         }
-        trace.flaps.note(true, &self.settings.damping, now_ms);
-        trace.incarnation = heartbeat.incarnation;
-        trace.sequence = heartbeat.sequence;
-        trace.seen_ms = now_ms;
+        record.flaps.note(true, &self.settings.damping, now_ms);
+        record.incarnation = heartbeat.incarnation;
+        record.sequence = heartbeat.sequence;
+        record.seen_ms = now_ms;
         let listed_leaving = self
             .listed
             .get(&heartbeat.router)
             .is_some_and(|listed| listed.record.state == VmState::Leaving);
         if heartbeat.state == VmState::Leaving || (listed_leaving && known.is_none()) {
-            trace.left = Some(heartbeat.incarnation);
+            record.leaving_incarnation = Some(heartbeat.incarnation);
         }
-        let state = if trace.left == Some(heartbeat.incarnation) {
+        let state = if record.leaving_incarnation == Some(heartbeat.incarnation) {
             VmState::Leaving
         } else {
             VmState::Live
@@ -144,11 +144,11 @@
         };
         self.peers.insert(heartbeat.router, peer);
         self.introduced.remove(&heartbeat.router);
-        self.bound_traces();
+        self.evict_oldest_record();
         HeartbeatTaken::Taken { change }
     }
 
-    /// Takes in the platform's list: whom to send heartbeats, and who is leaving.
+    /// Processes the platform's list, which names heartbeat targets and leaving routers.
     pub fn take_list(&mut self, list: &[VmRecord], now_ms: u64) -> Vec<RosterChange> {
         let mut changes = Vec::new();
         let mut listed = BTreeMap::new();
@@ -158,35 +158,36 @@
             };
             let router = RouterId::from_name(&record.name);
             let before = self.listed.get(&router);
-            let was_leaving = before.is_some_and(|line| line.record.state == VmState::Leaving);
-            let line = ListedRouter {
+            let was_leaving = before.is_some_and(|entry| entry.record.state == VmState::Leaving);
+            let entry = ListedRouter {
                 record: record.clone(),
                 peer_address: *peer_address,
-                since_ms: before.map_or(now_ms, |line| line.since_ms),
-                refused: before.is_some_and(|line| line.refused),
+                since_ms: before.map_or(now_ms, |entry| entry.since_ms),
+                refused: before.is_some_and(|entry| entry.refused),
             };
-            listed.insert(router, line);
+            listed.insert(router, entry);
             if record.state == VmState::Leaving && !was_leaving {
-                changes.extend(self.mark_left(router));
+                changes.extend(self.mark_leaving(router));
             }
         }
-        // A list without any router says that the platform lost it, not that all are gone.
+        // A list without any routers means that the platform lost its data, not that all routers
+        // are gone.
         if !listed.is_empty() {
             self.listed = listed;
         }
         changes
     }
 
-    fn mark_left(&mut self, router: RouterId) -> Option<RosterChange> {
+    fn mark_leaving(&mut self, router: RouterId) -> Option<RosterChange> {
         let peer = self.peers.get_mut(&router)?;
-        let trace = self.traces.get_mut(&router)?;
-        trace.left = Some(trace.incarnation);
-        let was = std::mem::replace(&mut peer.state, VmState::Leaving);
-        (was == VmState::Live).then(|| RosterChange::Leaving(peer.profile.name.clone()))
+        let record = self.records.get_mut(&router)?;
+        record.leaving_incarnation = Some(record.incarnation);
+        let previous = std::mem::replace(&mut peer.state, VmState::Leaving);
+        (previous == VmState::Live).then(|| RosterChange::Leaving(peer.profile.name.clone()))
     }
 
-    /// Takes in where a peer says that others are reached, so that routers that joined by
-    /// different ones meet though no list names them.
+    /// Records addresses of other routers reported by a peer, so that routers that joined through
+    /// different peers find each other although no list names them.
     pub fn introduce(&mut self, others: &[(RouterId, SocketAddr)]) {
         for (router, address) in others {
             let known = *router == self.me || self.peers.contains_key(router);
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Notes that a peer answered a call of this router, and the version that it has in force.
-    /// Tells whether that version is news.
+    /// Records that a peer answered a call of this router, and its configuration version in force.
+    /// Returns whether that version is newer than the last one seen.
     pub fn note_answer(&mut self, router: RouterId, config_version: u64, now_ms: u64) -> bool {
         let Some(peer) = self.peers.get_mut(&router) else {
             return false;
@@ -208,10 +209,10 @@
         is_news
     }
 
-    /// Drops a peer whose address refuses connections: its process has ended.
+    /// Removes a peer whose address refuses connections, since its process has ended.
     pub fn note_refused(&mut self, router: RouterId, now_ms: u64) -> Option<RosterChange> {
-        if let Some(line) = self.listed.get_mut(&router) {
-            line.refused = true;
+        if let Some(entry) = self.listed.get_mut(&router) {
+            entry.refused = true;
         }
         self.introduced.remove(&router);
         self.drop_peer(router, now_ms)
@@ -220,14 +221,14 @@
     fn drop_peer(&mut self, router: RouterId, now_ms: u64) -> Option<RosterChange> {
         let peer = self.peers.remove(&router)?;
         let damping = self.settings.damping;
-        if let Some(trace) = self.traces.get_mut(&router) {
-            trace.flaps.note(false, &damping, now_ms);
-            trace.lost_ms = Some(now_ms);
+        if let Some(record) = self.records.get_mut(&router) {
+            record.flaps.note(false, &damping, now_ms);
+            record.lost_ms = Some(now_ms);
         }
         Some(RosterChange::Lost(peer.profile.name))
     }
 
-    /// Drops peers that are silent for too long.
+    /// Removes peers without a recent heartbeat.
     pub fn tick(&mut self, now_ms: u64) -> Vec<RosterChange> {
         let dead_after_ms = self.settings.dead_after_ms;
         let silent: Vec<RouterId> = self
@@ -243,7 +244,7 @@
         changes
     }
 
-    /// Gives every peer its full time again: this router stood still, not they.
+    /// Restarts the heartbeat timeout of all peers, after a pause of this router itself.
     pub fn forgive_silence(&mut self, now_ms: u64) {
         self.seen_ms = now_ms;
         for peer in self.peers.values_mut() {
@@ -252,23 +253,23 @@
         }
     }
 
-    /// The routers that may count slots, this one among them unless it is leaving.
+    /// The routers that may be stewards, including this one unless it is leaving.
     ///
-    /// Left out are peers that leave, that are held back for flapping, and that are seen but do
-    /// not answer. Where nobody is left, leaving ones that have not resigned go on. A router with
-    /// nobody else stays its own steward.
+    /// Peers are excluded if they are leaving, have resigned, are held back by flap damping, or
+    /// send heartbeats but do not answer calls. If no router remains, leaving ones that have not
+    /// resigned are returned. If there are none of these either, this router stays a steward.
     pub fn steward_candidates(
         &self,
         own: VmState,
         has_resigned: bool,
         now_ms: u64,
     ) -> Vec<RouterId> {
-        let mut candidates = self.counting_peers(VmState::Live, now_ms);
+        let mut candidates = self.eligible_peers(VmState::Live, now_ms);
         if own == VmState::Live {
             candidates.push(self.me);
         }
         if candidates.is_empty() {
-            candidates = self.counting_peers(VmState::Leaving, now_ms);
+            candidates = self.eligible_peers(VmState::Leaving, now_ms);
             if !has_resigned || candidates.is_empty() {
                 candidates.push(self.me);
             }
@@ -276,50 +277,50 @@
         candidates
     }
 
-    fn counting_peers(&self, state: VmState, now_ms: u64) -> Vec<RouterId> {
+    fn eligible_peers(&self, state: VmState, now_ms: u64) -> Vec<RouterId> {
         let peers = self.peers.iter().filter(|(router, peer)| {
-            peer.state == state && !peer.has_resigned && self.may_count(**router, peer, now_ms)
+            peer.state == state && !peer.has_resigned && self.is_eligible(**router, peer, now_ms)
         });
         peers.map(|(router, _)| *router).collect()
     }
 
-    /// The routers that may hold slots: this one, all that are seen, and those of the list that
-    /// had no time yet to be seen.
+    /// The routers that may hold slots: this one, all that are seen, and routers that were listed
+    /// too recently to have been seen.
     pub fn holders(&self, now_ms: u64) -> Vec<RouterId> {
-        let awaited = self.listed.iter().filter(|(router, line)| {
-            let young = now_ms.saturating_sub(line.since_ms) < self.settings.dead_after_ms;
-            young && !line.refused && !self.peers.contains_key(router) && **router != self.me
+        let not_yet_seen = self.listed.iter().filter(|(router, entry)| {
+            let is_new = now_ms.saturating_sub(entry.since_ms) < self.settings.dead_after_ms;
+            is_new && !entry.refused && !self.peers.contains_key(router) && **router != self.me
         });
-        let awaited = awaited.map(|(router, _)| *router);
+        let not_yet_seen = not_yet_seen.map(|(router, _)| *router);
         self.peers
             .keys()
             .copied()
-            .chain(awaited)
+            .chain(not_yet_seen)
             .chain([self.me])
             .collect()
     }
 
-    /// Whether a router of the list, other than this one, may be out there.
+    /// Whether the list names a router other than this one.
     pub fn expects_others(&self) -> bool {
         self.listed.keys().any(|router| *router != self.me)
     }
 
-    /// Whether the list says that this router is leaving.
+    /// Whether the list marks this router as leaving.
     pub fn is_listed_leaving(&self) -> bool {
         self.listed
             .get(&self.me)
-            .is_some_and(|line| line.record.state == VmState::Leaving)
+            .is_some_and(|entry| entry.record.state == VmState::Leaving)
     }
 
-    /// The routers of the list that are not leaving, without this one.
+    /// The listed routers that are not leaving, without this one.
     pub fn listed_others(&self) -> impl Iterator<Item = &VmRecord> {
         self.listed
             .iter()
-            .filter(|(router, line)| **router != self.me && line.record.state == VmState::Live)
-            .map(|(_, line)| &line.record)
+            .filter(|(router, entry)| **router != self.me && entry.record.state == VmState::Live)
+            .map(|(_, entry)| &entry.record)
     }
 
-    /// Live peers that were seen within the time.
+    /// Number of live peers seen within the last `within_ms`.
     pub fn live_seen_within(&self, within_ms: u64, now_ms: u64) -> usize {
         let peers = self.peers.values().filter(|peer| {
             peer.state == VmState::Live && now_ms.saturating_sub(peer.seen_ms) < within_ms
@@ -327,44 +328,46 @@
         peers.count()
     }
 
-    /// Live routers by the list and by what is seen, this one included.
+    /// Number of live routers, listed or seen, including this one.
     pub fn expected_routers(&self) -> usize {
-        let listed = self.listed.iter().filter(|(router, line)| {
-            line.record.state == VmState::Live && !self.peers.contains_key(router)
+        let listed = self.listed.iter().filter(|(router, entry)| {
+            entry.record.state == VmState::Live && !self.peers.contains_key(router)
         });
         let listed = listed.filter(|(router, _)| **router != self.me).count();
         let seen = self.peers.values();
         1 + listed + seen.filter(|peer| peer.state == VmState::Live).count()
     }
 
-    /// Routers lost so short a time ago that peers may not know yet.
+    /// Routers lost so recently that peers may not know it yet.
     pub fn lately_lost(&self, now_ms: u64) -> Vec<RouterId> {
-        let traces = self.traces.iter().filter(|(router, trace)| {
-            let lately = trace
+        let records = self.records.iter().filter(|(router, record)| {
+            let is_recent = record
                 .lost_ms
-                .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < TELL_LOST_MS);
-            lately && !self.peers.contains_key(router)
+                .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < ANNOUNCE_LOST_MS);
+            is_recent && !self.peers.contains_key(router)
         });
-        traces.map(|(router, _)| *router).collect()
+        records.map(|(router, _)| *router).collect()
     }
 
-    /// The newest sequence number seen of a router; 0 for none.
+    /// The last sequence number seen from a router; 0 if none.
     pub fn seen_sequence(&self, router: RouterId) -> u64 {
-        self.traces.get(&router).map_or(0, |trace| trace.sequence)
+        self.records
+            .get(&router)
+            .map_or(0, |record| record.sequence)
     }
 
-    /// When any peer was last seen.
+    /// When a heartbeat of any peer was last received.
     pub fn seen_ms(&self) -> u64 {
         self.seen_ms
     }
 
-    /// Whom to send heartbeats: peers that are seen, routers of the list, and those introduced.
+    /// The targets of heartbeats: peers that are seen, listed routers, and introduced routers.
     pub fn targets(&self) -> BTreeMap<RouterId, SocketAddr> {
         let listed = self
             .listed
             .iter()
             .filter(|(router, _)| **router != self.me)
-            .map(|(router, line)| (*router, line.peer_address));
+            .map(|(router, entry)| (*router, entry.peer_address));
         let seen = self
             .peers
             .iter()
@@ -374,50 +377,50 @@
         listed.chain(introduced).chain(seen).collect()
     }
 
-    /// All peers that are seen.
+    /// All peers whose heartbeats are received.
     pub fn iter(&self) -> impl Iterator<Item = (RouterId, &RosterPeer)> {
         self.peers.iter().map(|(router, peer)| (*router, peer))
     }
 
-    /// The peer of this id, if it is seen.
+    /// The peer with this id, if its heartbeats are received.
     pub fn get(&self, router: RouterId) -> Option<&RosterPeer> {
         self.peers.get(&router)
     }
 
-    /// The newest incarnation of a router that was ever seen; 0 for none.
+    /// The latest known incarnation of a router; 0 if none.
     pub fn known_incarnation(&self, router: RouterId) -> Incarnation {
-        self.traces
+        self.records
             .get(&router)
-            .map_or(0, |trace| trace.incarnation)
+            .map_or(0, |record| record.incarnation)
     }
 
-    fn may_count(&self, router: RouterId, peer: &RosterPeer, now_ms: u64) -> bool {
+    fn is_eligible(&self, router: RouterId, peer: &RosterPeer, now_ms: u64) -> bool {
         let answers = now_ms.saturating_sub(peer.answered_ms) < self.settings.dead_after_ms;
-        let steady = self
-            .traces
+        let is_steady = self
+            .records
             .get(&router)
-            .is_none_or(|trace| trace.flaps.is_usable(&self.settings.damping, now_ms));
-        answers && steady
+            .is_none_or(|record| record.flaps.is_usable(&self.settings.damping, now_ms));
+        answers && is_steady
     }
 
-    fn bound_traces(&mut self) {
-        if self.traces.len() <= MAX_REMEMBERED {
+    fn evict_oldest_record(&mut self) {
+        if self.records.len() <= MAX_REMEMBERED {
             return;
         }
         let oldest = self
-            .traces
+            .records
             .iter()
             .filter(|(router, _)| !self.peers.contains_key(router))
-            .min_by_key(|(_, trace)| trace.seen_ms)
+            .min_by_key(|(_, record)| record.seen_ms)
             .map(|(router, _)| *router);
         if let Some(router) = oldest {
-            self.traces.remove(&router);
+            self.records.remove(&router);
         }
     }
 }
 
 impl RosterPeer {
-    /// Whether it takes new work; leaving outranks live for its incarnation.
+    /// Whether the peer accepts new work; `Leaving` is final for its incarnation.
     pub fn state(&self) -> VmState {
         self.state
     }
--- a/crates/sapphiretrack-core/src/rendezvous.rs
+++ b/crates/sapphiretrack-core/src/rendezvous.rs
@@ -1,10 +1,10 @@
 //! Weighted rendezvous hashing (highest random weight).
 
-/// The score of a node for a key; the node with the highest score owns the key.
+/// The score of a node for a key; the node with the highest score is assigned the key.
 ///
 /// The weight scales a node's share of the keys: `-weight / ln(u)` for a uniform `u`.
 pub fn rendezvous_score(key: u64, node: u64, weight: f64) -> f64 {
-    /// The largest integer below which every integer has an exact `f64`.
+    /// 2^53: every smaller integer is exactly representable as `f64`.
     const MANTISSA: f64 = (1_u64 << 53) as f64;
     let uniform = ((mix(key, node) >> 11) as f64 + 0.5) / MANTISSA;
     -weight / uniform.ln()
@@ -30,10 +30,10 @@
         .collect()
 }
 
-/// Mixes two hashes into one; both are hashes already, so that a few rounds do.
+/// Mixes two hashes into one. Both inputs are already well distributed, so two rounds suffice.
 fn mix(key: u64, node: u64) -> u64 {
-    const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
-    let mut value = key ^ node.rotate_left(32).wrapping_mul(ODD);
+    const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    let mut value = key ^ node.rotate_left(32).wrapping_mul(MULTIPLIER);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
--- a/crates/sapphiretrack-core/src/server_roster.rs
+++ b/crates/sapphiretrack-core/src/server_roster.rs
@@ -1,8 +1,8 @@
-//! Which backend servers there are and which take new work, merged from all signals.
+//! The backend servers and their states, merged from all sources.
 //!
-//! The platform's list is a hint that lags, flaps and may come empty after a restart; load
-//! reports and what requests meet are first-hand. *Leaving* outranks *live* for an incarnation
-//! for good, whichever signal brought it.
+//! The platform's list is only a hint: it lags, flaps and may be empty after a restart. Load
+//! reports and refused requests are first-hand. Once any source reports an incarnation as
+//! *leaving*, it cannot become *live* again.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,26 @@
     VmState,
 };
 
-/// Load reports that may fail in a row before a server gets no new work.
+/// Consecutive failures to get a load report after which a server gets no new work.
 const MAX_FAILED_REPORTS: u32 = 3;
-/// Incarnations of one server that are remembered as leaving; far more than a list lags behind.
+/// Number of leaving incarnations remembered per server, far more than a list can lag behind.
 const MAX_LEFT_INCARNATIONS: usize = 8;
-/// Leaving marks kept for servers that no list has named yet.
-const MAX_EARLY_MARKS: usize = 1_024;
+/// Maximum number of leaving marks kept for servers that are not listed yet.
+const MAX_UNLISTED_MARKS: usize = 1_024;
 
-/// Times that rule the roster.
+/// Timing of the roster.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerRosterSettings {
-    /// A server that is missing in the list for so long and does not report is gone.
+    /// Time after which a server that is missing from the list and does not report is removed.
     pub missing_after_ms: u64,
-    /// A server that is missing in a list with other servers for so long is gone, even if
-    /// something still answers at its address.
+    /// Time after which a server missing from a list with other servers is removed, even if its
+    /// address still answers.
     pub unlisted_after_ms: u64,
-    /// How long a load report is passed on.
+    /// Age up to which a load report counts as fresh and is forwarded to peers.
     pub report_stale_after_ms: u64,
-    /// How long a new leaving mark is told to peers.
+    /// How long a new leaving mark is announced to peers.
     pub spread_ms: u64,
-    /// Holds flapping servers back.
+    /// Flap damping of servers.
     pub damping: Damping,
 }
 
@@ -46,73 +46,74 @@
     }
 }
 
-/// A change that is worth an event.
+/// A change in a roster, to be logged.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RosterChange {
-    /// A VM is new.
+    /// A VM was added.
     Joined(String),
-    /// A VM is leaving.
+    /// A VM started leaving.
     Leaving(String),
-    /// A VM is gone.
+    /// A VM was lost.
     Lost(String),
 }
 
-/// What one router knows first-hand of a server, as it tells its peers.
+/// A router's first-hand knowledge of a server, as sent to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSighting {
     /// The server.
     pub server: ServerId,
     /// Whether its incarnation is leaving.
     pub state: VmState,
-    /// Whether it answers and is not held back.
+    /// Whether the server answers and is not held back by flap damping.
     pub reachable: bool,
-    /// Its last load report.
+    /// The server's last load report.
     pub report: LoadReport,
 }
 
-/// A backend server, as merged from all signals.
+/// A backend server, merged from all sources.
 #[derive(Clone, Debug)]
 pub struct RosterServer {
-    /// Its line of the list, as last seen there.
+    /// The server's last entry in the list.
     pub record: VmRecord,
-    /// Its last load report.
+    /// The server's last load report.
     pub report: LoadReport,
     reported_ms: Option<u64>,
     failed_reports: u32,
     flaps: Flaps,
-    /// What a peer that watches the server says; first-hand reports replace it.
-    told_unreachable: bool,
-    /// When it was last in the list.
+    /// Whether a peer that watches the server reports it unreachable; overwritten by own reports.
+    is_reported_unreachable: bool,
+    /// When the server was last in the list.
     listed_ms: u64,
-    /// Since when the list, with other servers in it, has left it out.
+    /// Since when the server has been missing from a list that contains other servers.
     unlisted_since_ms: Option<u64>,
-    left: Vec<Incarnation>,
-    /// The list said leaving before any report told the incarnation.
+    leaving_incarnations: Vec<Incarnation>,
+    /// Whether the first reported incarnation is leaving, because the server was marked as leaving
+    /// before any report.
     first_is_leaving: bool,
     marked_ms: Option<u64>,
 }
 
-/// All backend servers that one router knows of.
+/// The backend servers known to a router.
 #[derive(Debug, Default)]
 pub struct ServerRoster {
     settings: ServerRosterSettings,
     servers: BTreeMap<ServerId, RosterServer>,
     /// Leaving marks of servers that are not listed yet.
-    early_marks: BTreeMap<ServerId, Incarnation>,
+    unlisted_marks: BTreeMap<ServerId, Incarnation>,
 }
 
 impl ServerRoster {
-    /// An empty roster.
+    /// Creates an empty roster.
     pub fn new(settings: ServerRosterSettings) -> Self {
         Self {
             settings,
             servers: BTreeMap::new(),
-            early_marks: BTreeMap::new(),
+            unlisted_marks: BTreeMap::new(),
         }
     }
 
-    /// Takes in the platform's list. It adds servers and marks leaving ones; what it leaves out
-    /// is dropped by [`Self::tick`] only.
+    /// Processes the platform's list: adds servers and marks leaving ones. Servers missing from the
+    /// list are only removed by [`Self::tick`].
     pub fn take_list(&mut self, list: &[VmRecord], now_ms: u64) -> Vec<RosterChange> {
         let mut changes = Vec::new();
         let servers = || {
@@ -124,10 +125,10 @@
             if !self.servers.contains_key(&id) {
                 changes.push(RosterChange::Joined(record.name.clone()));
                 let mut server = RosterServer::new(record.clone(), now_ms);
-                match self.early_marks.remove(&id) {
+                match self.unlisted_marks.remove(&id) {
                     Some(UNKNOWN_INCARNATION) => server.first_is_leaving = true,
                     Some(incarnation) => {
-                        server.mark_left(incarnation, now_ms);
+                        server.mark_leaving(incarnation, now_ms);
                     }
                     None => {}
                 }
@@ -150,7 +151,7 @@
         changes
     }
 
-    /// Takes in a load report that this router asked for, or that none came.
+    /// Processes the result of this router's own request for a load report; `None` if it failed.
     pub fn take_report(
         &mut self,
         id: ServerId,
@@ -159,7 +160,7 @@
     ) -> Option<RosterChange> {
         let damping = self.settings.damping;
         let server = self.servers.get_mut(&id)?;
-        server.told_unreachable = false;
+        server.is_reported_unreachable = false;
         let Some(report) = report else {
             server.failed_reports = server.failed_reports.saturating_add(1);
             let up = server.failed_reports < MAX_FAILED_REPORTS;
@@ -173,21 +174,21 @@
             .then(|| RosterChange::Leaving(server.record.name.clone()))
     }
 
-    /// Takes in what a peer knows first-hand.
+    /// Processes a peer's first-hand knowledge of a server.
     pub fn take_sighting(
         &mut self,
         sighting: &ServerSighting,
         now_ms: u64,
     ) -> Option<RosterChange> {
         let server = self.servers.get_mut(&sighting.server)?;
-        let older = sighting.report.incarnation < server.report.incarnation;
-        if older && server.is_fresh(&self.settings, now_ms) {
+        let is_older = sighting.report.incarnation < server.report.incarnation;
+        if is_older && server.is_fresh(&self.settings, now_ms) {
             return None;
         }
         let reported_ms = server.reported_ms;
         let leaving = sighting.state == VmState::Leaving;
-        let left = server.take_load(sighting.report, leaving, now_ms);
-        server.told_unreachable = !sighting.reachable;
+        let starts_leaving = server.take_load(sighting.report, leaving, now_ms);
+        server.is_reported_unreachable = !sighting.reachable;
         if sighting.reachable {
             server.failed_reports = 0;
             let damping = self.settings.damping;
@@ -195,13 +196,13 @@
         } else {
             server.reported_ms = reported_ms;
         }
-        left.then(|| RosterChange::Leaving(server.record.name.clone()))
+        starts_leaving.then(|| RosterChange::Leaving(server.record.name.clone()))
     }
 
-    /// Marks an incarnation as leaving: a request was refused for it, or a peer says so.
+    /// Marks an incarnation as leaving, because it refused a request or a peer reported it.
     ///
-    /// A request that met the server before its first report does not know the incarnation; the
-    /// mark then holds for the one that is reported, or for the first that will be.
+    /// If the incarnation is unknown because the request was sent before the first report, the mark
+    /// applies to the reported incarnation, or else to the first one to be reported.
     pub fn note_leaving(
         &mut self,
         id: ServerId,
@@ -209,8 +210,8 @@
         now_ms: u64,
     ) -> Option<RosterChange> {
         let Some(server) = self.servers.get_mut(&id) else {
-            if self.early_marks.len() < MAX_EARLY_MARKS {
-                self.early_marks.insert(id, incarnation);
+            if self.unlisted_marks.len() < MAX_UNLISTED_MARKS {
+                self.unlisted_marks.insert(id, incarnation);
             }
             return None;
         };
@@ -218,17 +219,17 @@
         match (incarnation, server.reported_ms) {
             (UNKNOWN_INCARNATION, None) => server.first_is_leaving = true,
             (UNKNOWN_INCARNATION, Some(_)) => {
-                server.mark_left(server.report.incarnation, now_ms);
+                server.mark_leaving(server.report.incarnation, now_ms);
             }
             _ => {
-                server.mark_left(incarnation, now_ms);
+                server.mark_leaving(incarnation, now_ms);
             }
         }
         (!was_leaving && server.is_leaving())
             .then(|| RosterChange::Leaving(server.record.name.clone()))
     }
 
-    /// Drops servers that are gone by all signals.
+    /// Removes servers that are gone.
     pub fn tick(&mut self, now_ms: u64) -> Vec<RosterChange> {
         let settings = self.settings;
         let mut changes = Vec::new();
@@ -242,7 +243,7 @@
         changes
     }
 
-    /// Whether a server takes new work, as far as the roster knows.
+    /// Whether a server accepts new work; unreachable ones count as leaving.
     pub fn state(&self, id: ServerId, now_ms: u64) -> Option<VmState> {
         let server = self.servers.get(&id)?;
         let open = !server.is_leaving() && server.is_reachable(&self.settings, now_ms);
@@ -253,17 +254,18 @@
         })
     }
 
-    /// What this router tells of a server that it watches; none before the first report.
+    /// What this router sends to peers about a server that it watches; `None` if the server is
+    /// reachable but has no fresh report.
     pub fn sighting(&self, id: ServerId, now_ms: u64) -> Option<ServerSighting> {
         let server = self.servers.get(&id)?;
         let reachable = server.is_reachable(&self.settings, now_ms);
-        let known_well = server.is_fresh(&self.settings, now_ms) || !reachable;
+        let is_conclusive = server.is_fresh(&self.settings, now_ms) || !reachable;
         let state = if server.is_leaving() {
             VmState::Leaving
         } else {
             VmState::Live
         };
-        known_well.then_some(ServerSighting {
+        is_conclusive.then_some(ServerSighting {
             server: id,
             state,
             reachable,
@@ -271,29 +273,29 @@
         })
     }
 
-    /// Leaving marks that are new enough to be told to peers.
+    /// Leaving marks that are recent enough to be announced to peers.
     pub fn new_marks(&self, now_ms: u64) -> Vec<(ServerId, Incarnation)> {
         let marks = self.servers.iter().filter_map(|(id, server)| {
             let marked_ms = server.marked_ms?;
             let fresh = now_ms.saturating_sub(marked_ms) < self.settings.spread_ms;
-            fresh.then_some((*id, *server.left.last()?))
+            fresh.then_some((*id, *server.leaving_incarnations.last()?))
         });
         marks.collect()
     }
 
-    /// All servers that are not gone.
+    /// All servers in the roster.
     pub fn iter(&self) -> impl Iterator<Item = (ServerId, &RosterServer)> {
         self.servers.iter().map(|(id, server)| (*id, server))
     }
 
-    /// The server of this id.
+    /// The server with this id.
     pub fn get(&self, id: ServerId) -> Option<&RosterServer> {
         self.servers.get(&id)
     }
 }
 
 impl RosterServer {
-    /// A server that is new in the list; the line itself is taken in after this.
+    /// Creates a newly listed server; its entry in the list is processed separately.
     fn new(record: VmRecord, now_ms: u64) -> Self {
         Self {
             record: VmRecord {
@@ -304,64 +306,64 @@
             reported_ms: None,
             failed_reports: 0,
             flaps: Flaps::default(),
-            told_unreachable: false,
+            is_reported_unreachable: false,
             listed_ms: now_ms,
             unlisted_since_ms: None,
-            left: Vec::new(),
+            leaving_incarnations: Vec::new(),
             first_is_leaving: false,
             marked_ms: None,
         }
     }
 
-    /// Whether the list, the server itself or a request that met it says that it is leaving.
+    /// Whether the server is leaving according to the list, its reports, refused requests or peers.
     pub fn is_leaving(&self) -> bool {
         self.record.state == VmState::Leaving
             || self.first_is_leaving
-            || self.left.contains(&self.report.incarnation)
+            || self.leaving_incarnations.contains(&self.report.incarnation)
     }
 
-    /// Returns whether the line newly says leaving.
+    /// Processes the server's entry in the list; returns whether it makes the server leave.
     fn take_record(&mut self, record: &VmRecord, now_ms: u64) -> bool {
         let was_leaving = self.is_leaving();
-        let turned = record.state == VmState::Leaving && self.record.state == VmState::Live;
+        let starts_leaving = record.state == VmState::Leaving && self.record.state == VmState::Live;
         self.record = record.clone();
         self.listed_ms = now_ms;
         self.unlisted_since_ms = None;
-        if turned && self.reported_ms.is_some() {
-            self.mark_left(self.report.incarnation, now_ms);
-        } else if turned {
+        if starts_leaving && self.reported_ms.is_some() {
+            self.mark_leaving(self.report.incarnation, now_ms);
+        } else if starts_leaving {
             self.first_is_leaving = true;
         }
         !was_leaving && self.is_leaving()
     }
 
-    /// Returns whether this makes the server leave.
+    /// Processes a load report; returns whether it makes the server leave.
     fn take_load(&mut self, report: LoadReport, leaving: bool, now_ms: u64) -> bool {
         let was_leaving = self.is_leaving();
         self.report = report;
         self.reported_ms = Some(now_ms);
         if leaving || self.first_is_leaving {
             self.first_is_leaving = false;
-            self.mark_left(report.incarnation, now_ms);
+            self.mark_leaving(report.incarnation, now_ms);
         }
         !was_leaving && self.is_leaving()
     }
 
-    /// Returns whether the mark is new.
-    fn mark_left(&mut self, incarnation: Incarnation, now_ms: u64) -> bool {
-        if self.left.contains(&incarnation) {
+    /// Marks an incarnation as leaving; returns whether the mark is new.
+    fn mark_leaving(&mut self, incarnation: Incarnation, now_ms: u64) -> bool {
+        if self.leaving_incarnations.contains(&incarnation) {
             return false;
         }
-        if self.left.len() == MAX_LEFT_INCARNATIONS {
-            self.left.remove(0);
+        if self.leaving_incarnations.len() == MAX_LEFT_INCARNATIONS {
+            self.leaving_incarnations.remove(0);
         }
-        self.left.push(incarnation);
+        self.leaving_incarnations.push(incarnation);
         self.marked_ms = Some(now_ms);
         true
     }
 
     fn is_reachable(&self, settings: &ServerRosterSettings, now_ms: u64) -> bool {
-        !self.told_unreachable && self.flaps.is_usable(&settings.damping, now_ms)
+        !self.is_reported_unreachable && self.flaps.is_usable(&settings.damping, now_ms)
     }
 
     fn is_fresh(&self, settings: &ServerRosterSettings, now_ms: u64) -> bool {
@@ -371,16 +373,17 @@
 
     fn is_gone(&self, settings: &ServerRosterSettings, now_ms: u64) -> bool {
         let missing_for_ms = now_ms.saturating_sub(self.listed_ms);
-        let silent = !self.is_fresh(settings, now_ms)
-            || self.told_unreachable
+        let is_silent = !self.is_fresh(settings, now_ms)
+            || self.is_reported_unreachable
             || self.failed_reports >= MAX_FAILED_REPORTS;
-        let unlisted = self
+        let is_unlisted = self
             .unlisted_since_ms
             .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= settings.unlisted_after_ms);
-        // While no list comes at all, as with the platform down, a server that answers stays.
-        unlisted
+        // Without a list that names other servers, for example while the platform is down, no
+        // server is removed.
+        is_unlisted
             || (self.unlisted_since_ms.is_some()
-                && silent
+                && is_silent
                 && missing_for_ms >= settings.missing_after_ms)
     }
 }
--- a/crates/sapphiretrack-core/src/shared_tables.rs
+++ b/crates/sapphiretrack-core/src/shared_tables.rs
@@ -1,4 +1,4 @@
-//! Equal tables of contracts are kept once: they are the most of a contract's memory.
+//! Sharing of equal tables between contracts, since the tables take up most of their memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -8,10 +8,10 @@
 
 use crate::{ClassPolicy, Contract};
 
-/// How many different tables are looked through; the tables of further ones are not shared.
+/// Maximum number of distinct tables of each kind to search; further ones are not shared.
 const MAX_KNOWN: usize = 64;
 
-/// The different tables met so far.
+/// The distinct tables found so far.
 #[derive(Default)]
 pub(crate) struct SharedTables {
     pools: Vec<Arc<BTreeSet<String>>>,
@@ -19,7 +19,7 @@
 }
 
 impl SharedTables {
-    /// The tables of some contracts that are in force.
+    /// Collects the tables of existing contracts.
     pub(crate) fn of(contracts: &BTreeMap<String, Arc<Contract>>) -> Self {
         let mut tables = Self::default();
         for contract in contracts.values().take(MAX_KNOWN) {
@@ -29,7 +29,7 @@
         tables
     }
 
-    /// Replaces a contract's tables by equal ones that are there already.
+    /// Replaces a contract's tables with equal ones that are already known, and adds new ones.
     pub(crate) fn share(&mut self, contract: &mut Contract) {
         share(&mut self.pools, &mut contract.pools);
         share(&mut self.classes, &mut contract.classes);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Reads contracts by customer; each one's own tables are dropped before the next is read.
+/// Deserializes contracts by customer, and shares the tables of each before reading the next one.
 pub(crate) fn deserialize<'de, Source>(
     source: Source,
 ) -> Result<BTreeMap<String, Arc<Contract>>, Source::Error>
