--- a/crates/sapphiretrack-core/src/attempt.rs
+++ b/crates/sapphiretrack-core/src/attempt.rs
@@ -1,51 +1,51 @@
-//! The attempts of one request: what may have run, what went out, whether another may follow.
+//! Attempts of one request: whether it may have run, and whether it may be retried.
 
 use crate::{Outcome, Refusal, RefusalCode, ServerId};
 
-/// The most attempts of one request, however large the retry budget is.
+/// Maximum attempts per request, regardless of the retry budget.
 const MAX_ATTEMPTS: u32 = 4;
-/// The part of a class's deadline after which a silent stream counts as broken.
-const IDLE_SHARE_OF_DEADLINE: u64 = 8;
-/// The shortest time after which a silent stream counts as broken.
-const MIN_IDLE_MS: u64 = 250;
-/// The longest time after which a silent stream counts as broken.
-const MAX_IDLE_MS: u64 = 10_000;
-
-/// Whether a request may be run again.
+/// The idle timeout of a stream is the class's deadline divided by this.
+const IDLE_TIMEOUT_DIVISOR: u64 = 8;
+/// Minimum idle timeout of a stream, and minimum timeout for the first token.
+const MIN_IDLE_TIMEOUT_MS: u64 = 250;
+/// Maximum idle timeout of a stream.
+const MAX_IDLE_TIMEOUT_MS: u64 = 10_000;
+
+/// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeatable {
-    /// It is idempotent: a second run does no harm.
+    /// The request is idempotent.
     Always,
-    /// It is non-idempotent: another attempt only follows one that certainly did not run.
+    /// The request is non-idempotent: it is retried only if no earlier attempt can have run.
     OnlyIfNotRun,
 }
 
-/// What a failed attempt leaves behind.
+/// Whether a failed attempt may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptFailure {
-    /// It certainly did not run.
+    /// The attempt certainly did not run.
     NotRun,
-    /// It may have run, in part or whole.
+    /// The attempt may have run, partially or completely.
     MayHaveRun,
 }
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// Another attempt, if the retry budget allows one.
+    /// Make another attempt if the retry budget allows one.
     Retry,
-    /// The final answer.
+    /// Answer the caller with an error.
     GiveUp,
 }
 
 /// The state machine of a request's attempts.
 ///
-/// At any moment it knows whether a byte of the request may have been run, so that whatever
-/// ends the request can tell the truth.
+/// It always knows whether the request may have run, so that an error answer reports the correct
+/// outcome whenever the request ends.
 #[derive(Clone, Debug)]
 pub struct AttemptLog {
     repeatable: Repeatable,
-    sending: bool,
+    is_in_progress: bool,
     may_have_run: bool,
     attempts: u32,
     delivered_tokens: u32,
@@ -53,11 +53,11 @@
 }
 
 impl AttemptLog {
-    /// The log of a request that was not sent yet.
+    /// Creates the log of a request that has not been sent yet.
     pub fn new(repeatable: Repeatable) -> Self {
         Self {
             repeatable,
-            sending: false,
+            is_in_progress: false,
             may_have_run: false,
             attempts: 0,
             delivered_tokens: 0,
@@ -65,22 +65,22 @@
         }
     }
 
-    /// Notes that the request is about to be sent.
+    /// Records that the request is about to be sent to a server.
     pub fn begin(&mut self, server: ServerId) {
-        self.sending = true;
+        self.is_in_progress = true;
         self.attempts += 1;
         self.tried.push(server);
     }
 
-    /// Notes a token that goes to the caller.
+    /// Records that a token is forwarded to the caller.
     pub fn deliver(&mut self) {
         self.may_have_run = true;
         self.delivered_tokens += 1;
     }
 
-    /// Notes that the running attempt failed, and decides what follows.
+    /// Records that the current attempt failed and decides whether to retry.
     pub fn fail(&mut self, failure: AttemptFailure) -> NextStep {
-        self.sending = false;
+        self.is_in_progress = false;
         self.may_have_run |= failure == AttemptFailure::MayHaveRun;
         let repeatable = self.repeatable == Repeatable::Always || !self.may_have_run;
         if repeatable && self.attempts < MAX_ATTEMPTS {
@@ -90,16 +90,16 @@
         }
     }
 
-    /// What can be said now about the run of the request.
+    /// The outcome to report if the request ended now.
     pub fn outcome(&self) -> Outcome {
-        if self.sending || self.may_have_run {
+        if self.is_in_progress || self.may_have_run {
             Outcome::Unknown
         } else {
             Outcome::NotRun
         }
     }
 
-    /// A refusal with the true outcome.
+    /// Creates a refusal with the current outcome.
     pub fn refusal(&self, code: RefusalCode, message: impl Into<String>) -> Refusal {
         match self.outcome() {
             Outcome::NotRun => Refusal::not_run(code, message),
@@ -107,8 +107,8 @@
         }
     }
 
-    /// The same refusal with the true outcome. A code that promises that nothing ran becomes
-    /// [`RefusalCode::ServerFailed`] once something may have.
+    /// Adapts a refusal to the current outcome. Once the request may have run, the code becomes
+    /// [`RefusalCode::ServerFailed`], since other codes promise that nothing ran.
     pub fn correct(&self, refusal: Refusal) -> Refusal {
         if self.outcome() == Outcome::NotRun {
             return refusal;
@@ -120,29 +120,31 @@
         }
     }
 
-    /// How many tokens went to the caller; an attempt resumes after them.
+    /// Tokens forwarded to the caller so far; the next attempt resumes after them.
     pub fn delivered_tokens(&self) -> u32 {
         self.delivered_tokens
     }
 
-    /// How many attempts were begun.
+    /// Number of attempts started.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// The servers that were tried.
+    /// The servers of all attempts, in order.
     pub fn tried(&self) -> &[ServerId] {
         &self.tried
     }
 }
 
-/// How long a stream of a class may be silent between two tokens.
+/// Idle timeout between two tokens of a stream, from the class's deadline.
 pub fn idle_timeout_ms(deadline_ms: u64) -> u64 {
-    (deadline_ms / IDLE_SHARE_OF_DEADLINE).clamp(MIN_IDLE_MS, MAX_IDLE_MS)
+    (deadline_ms / IDLE_TIMEOUT_DIVISOR).clamp(MIN_IDLE_TIMEOUT_MS, MAX_IDLE_TIMEOUT_MS)
 }
 
-/// How long an attempt may take to its first token: most of what is left. A server that is only
-/// busy is then rarely given up on, and one that hangs leaves some time for another.
+/// Timeout of an attempt until its first token: three quarters of the time left to the deadline.
+///
+/// A server that is only busy is then rarely given up on, and one that hangs leaves some time for
+/// another attempt.
 pub fn first_token_timeout_ms(left_ms: u64) -> u64 {
-    (left_ms / 4 * 3).max(MIN_IDLE_MS)
+    (left_ms / 4 * 3).max(MIN_IDLE_TIMEOUT_MS)
 }
--- a/crates/sapphiretrack-core/src/chat.rs
+++ b/crates/sapphiretrack-core/src/chat.rs
@@ -1,52 +1,52 @@
-//! The events of a streamed chat answer, in the form that callers and engines share.
+//! Events of a streamed chat answer, in the format used by both callers and engines.
 
 use serde::{Deserialize, Serialize};
 
-/// The `data` of the last event of a whole stream.
+/// The `data` of the event that ends a complete stream.
 pub const STREAM_END: &str = "[DONE]";
 
-/// One event of an engine's stream.
+/// One event of a stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Chunk {
-    /// The attempt's id, echoed.
+    /// The id of the attempt, echoed by the engine.
     pub id: String,
     /// Always `chat.completion.chunk`.
     pub object: String,
-    /// The model.
+    /// The model's name.
     pub model: String,
-    /// One entry.
+    /// Always one entry.
     pub choices: Vec<ChunkChoice>,
-    /// Token counts, in the last chunk.
+    /// Token counts, in the last chunk only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// The new part of an answer.
+/// The text that a chunk adds to the answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChunkChoice {
     /// Always 0.
     pub index: u32,
-    /// The text.
+    /// The added text.
     pub delta: Delta,
-    /// Set in the last chunk.
+    /// Why generation ended; set in the last chunk only.
     pub finish_reason: Option<String>,
 }
 
-/// Text of an answer.
+/// Text added to an answer.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Delta {
-    /// One token.
+    /// The text of one token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
 
-/// Token counts.
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Of them, those found in the prefix cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
-    /// Tokens generated.
+    /// Generated tokens.
     pub completion_tokens: u32,
 }
--- a/crates/sapphiretrack-core/src/claim.rs
+++ b/crates/sapphiretrack-core/src/claim.rs
@@ -1,34 +1,34 @@
-//! Claims: how a non-idempotent request runs at most once.
+//! Claims, which ensure that a non-idempotent request runs at most once.
 
 use serde::{Deserialize, Serialize};
 
-/// How long a claim and its recorded answer are kept.
+/// How long a claim and its recorded answer are kept: 24 hours.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// The claim row of a non-idempotent request, under its customer and idempotency key.
+/// The claim row of a non-idempotent request, keyed by customer and idempotency key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Claim {
-    /// Drawn by the writer, so that it knows its own row after a lost reply.
+    /// A random id, by which the writer recognizes its own row after a lost reply.
     pub claim_id: String,
-    /// Hash of the request, so that a key reused for another request is noticed.
+    /// Hash of the request, to detect a key reused for another request.
     pub request_hash: u64,
-    /// When it was written, by the writer's wall clock.
+    /// When the claim was written, by the writer's wall clock.
     pub claimed_at_ms: u64,
-    /// How far it got.
+    /// The state of the request.
     pub state: ClaimState,
 }
 
-/// How far a claimed request got.
+/// The state of a claimed request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// It may have been sent.
+    /// The request may have been sent.
     Claimed,
-    /// It ran; this is its answer.
+    /// The request ran and returned this answer.
     Finished(RecordedAnswer),
 }
 
-/// The answer of a request that ran, as it is recorded for repeats.
+/// The recorded answer of a request that ran, returned to repeats.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordedAnswer<Body = RecordedBody> {
     /// The HTTP status.
@@ -39,30 +39,30 @@
     pub body: Body,
 }
 
-/// Where a recorded body is.
+/// Where the body of a recorded answer is stored.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordedBody {
     /// In the row itself.
     Text(String),
-    /// In the object of this name: it is large or no text.
+    /// In the object of this name, because it is large or not text.
     Object(String),
 }
 
-/// What to do about a claim row that is found.
+/// What to do about an existing claim row.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimDecision {
-    /// It is our own write: send, once.
+    /// The row is this writer's own: send the request once.
     Send,
-    /// Someone ran it: give the recorded answer.
+    /// The request already ran: return the recorded answer.
     Replay(RecordedAnswer),
-    /// Someone claimed it and its end is not known.
+    /// Another writer claimed the request and its outcome is unknown.
     Unknown,
-    /// The key belongs to another request.
+    /// The idempotency key was used for another request.
     KeyReused,
 }
 
-/// Decides about a claim row that was found where `own_claim_id` was to be written.
+/// Decides about a row that already exists where the claim `own_claim_id` was to be written.
 pub fn decide_claim(found: &Claim, own_claim_id: &str, request_hash: u64) -> ClaimDecision {
     if found.request_hash != request_hash {
         return ClaimDecision::KeyReused;
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether a claim written at `claimed_at_ms` may be deleted.
+/// Whether a claim written at `claimed_at_ms` has passed its retention time and may be deleted.
 pub fn claim_expired(claimed_at_ms: u64, now_ms: u64) -> bool {
     now_ms > claimed_at_ms.saturating_add(CLAIM_RETENTION_MS)
 }
--- a/crates/sapphiretrack-core/src/orders.rs
+++ b/crates/sapphiretrack-core/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: a desired state, compared with what the engine says.
+//! Orders to engines, from a comparison of the desired state with the reported one.
 
 use std::collections::BTreeSet;
 
@@ -6,84 +6,85 @@
 
 use crate::{Fencing, Incarnation, LeaseTerms};
 
-/// What an engine shall be.
+/// The desired state of an engine.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineGoal {
-    /// The model that it serves; none leaves it as it is.
+    /// The model to serve; `None` keeps the current one.
     pub model: Option<String>,
-    /// The version of the model; none leaves it as it is.
+    /// The version of the model; `None` keeps the current one.
     pub version: Option<String>,
-    /// The adapters that it has loaded; none leaves them as they are.
+    /// The adapters to have loaded; `None` keeps the current ones.
     pub adapters: Option<BTreeSet<String>>,
-    /// Its role; none leaves it as it is.
+    /// The engine's role; `None` keeps the current one.
     pub role: Option<EngineRole>,
-    /// Whether it shall stop.
+    /// Whether the engine is to stop.
     pub stopped: bool,
 }
 
-/// What an engine does in its pool.
+/// The part of the work that an engine does in its pool.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Prompts and answers.
+    /// Processes prompts and generates answers.
     #[default]
     Mixed,
-    /// Prompts only.
+    /// Only processes prompts.
     Prefill,
-    /// Answers only.
+    /// Only generates answers.
     Decode,
 }
 
-/// What an engine says that it is.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct EngineState {
-    /// Which run of it.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The model that it serves.
+    /// The model that the engine serves.
     pub model: String,
     /// The version of the model.
     pub version: String,
-    /// The adapters that it has loaded.
+    /// The loaded adapters.
     pub adapters: BTreeSet<String>,
-    /// Its role.
+    /// The engine's role.
     pub role: EngineRole,
-    /// Whether it was told to stop.
+    /// Whether the engine was ordered to stop.
     pub stopped: bool,
-    /// Whether it is fetching weights.
+    /// Whether the engine is fetching weights.
     pub loading: bool,
-    /// The fencing number of the last order that it took; 0 for none, or if it keeps none.
+    /// The fencing number of the last accepted order; 0 if there was none or the engine does not
+    /// store it.
     pub fencing: Fencing,
 }
 
-/// An order: the whole desired state under a fencing number, so that repeating it does no harm.
+/// An order with the complete desired state and a fencing number, so that it is safe to repeat.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineOrder {
-    /// The holder's fencing number.
+    /// The fencing number of the lease holder that sends the order.
     pub fencing: Fencing,
-    /// The run of the engine for which the order was made.
+    /// The incarnation of the engine that the order is meant for.
     pub incarnation: Incarnation,
-    /// What it shall be.
+    /// The desired state.
     pub goal: EngineGoal,
 }
 
-/// Whether the engines of a pool refuse an order with an old fencing number.
+/// Whether the engines of a pool reject an order with an outdated fencing number.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FencingCheck {
-    /// They do.
+    /// They reject it.
     Checks,
-    /// They take any order: a new holder first waits until old ones can no longer arrive.
+    /// They accept any order; a new lease holder waits until earlier orders can no longer arrive.
     #[default]
     Ignores,
 }
 
-/// How long an order may be on its way, from the holder's check to the engine.
+/// Maximum time from the lease holder's check to the arrival of an order at the engine.
 pub const MAX_ORDER_DELAY_MS: u64 = 5_000;
 
 impl EngineGoal {
-    /// Whether an engine is as it shall be.
+    /// Whether an engine's reported state matches the goal.
     pub fn is_met_by(&self, state: &EngineState) -> bool {
         self.stopped == state.stopped
             && self
@@ -101,36 +102,36 @@
             && self.role.is_none_or(|role| role == state.role)
     }
 
-    /// Whether reaching the goal fetches weights from the rate-limited store.
+    /// Whether reaching the goal requires fetching weights from the rate-limited store.
     pub fn needs_weights(&self, state: &EngineState) -> bool {
-        let other_model = self
+        let changes_model = self
             .model
             .as_ref()
             .is_some_and(|model| *model != state.model);
-        let other_version = self
+        let changes_version = self
             .version
             .as_ref()
             .is_some_and(|version| *version != state.version);
-        let new_adapter = self
+        let adds_adapter = self
             .adapters
             .as_ref()
             .is_some_and(|adapters| !adapters.is_subset(&state.adapters));
-        !self.stopped && (other_model || other_version || new_adapter)
+        !self.stopped && (changes_model || changes_version || adds_adapter)
     }
 }
 
-/// How many fetches of weights may start, as a bucket that refills.
+/// Rate limit for starting fetches of model weights, as a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightBudget {
     every_ms: u64,
     burst: u64,
-    /// When the bucket was empty; fetches started in the future of it are used up.
+    /// The time at which the bucket would have been empty; one fetch accrues per `every_ms` since.
     empty_at_ms: u64,
 }
 
 impl WeightBudget {
-    /// One fetch each `every_ms`, and `burst` at once. It starts empty: the holder before this
-    /// one may have just used it up.
+    /// Allows one fetch per `every_ms`, and at most `burst` at once. The bucket starts empty, since
+    /// the previous lease holder may have just used it up.
     pub fn new(every_ms: u64, burst: u64, now_ms: u64) -> Self {
         Self {
             every_ms,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Takes one fetch, if there is one.
+    /// Takes one fetch; returns false if none is available.
     pub fn take(&mut self, now_ms: u64) -> bool {
         let oldest_ms = now_ms.saturating_sub(self.every_ms.saturating_mul(self.burst));
         let empty_at_ms = self.empty_at_ms.max(oldest_ms);
@@ -151,11 +152,11 @@
     }
 }
 
-/// When a new holder may give its first order.
+/// When a new lease holder may send its first order.
 ///
-/// A checking engine refuses what comes late, so that the holder can start at once. For an
-/// ignoring one it waits until the last order of the holder before has certainly arrived: the
-/// lease was already waited out in full before it was taken, unless it was given back.
+/// An engine that checks fencing numbers rejects late orders of the previous holder, so the new one
+/// can start at once. For other engines it waits until the last order of the previous holder has
+/// certainly arrived. The lease's duration has already passed by then, unless it was released.
 pub fn first_order_ms(check: FencingCheck, terms: &LeaseTerms, taken_ms: u64) -> u64 {
     match check {
         FencingCheck::Checks => taken_ms,
@@ -163,18 +164,18 @@
     }
 }
 
-/// The order that an engine needs now, if any.
+/// The order to send to an engine now, if any.
 pub fn next_order(
     goal: &EngineGoal,
     state: &EngineState,
     fencing: Fencing,
-    weights: &mut WeightBudget,
+    weight_budget: &mut WeightBudget,
     now_ms: u64,
 ) -> Option<EngineOrder> {
     if goal.is_met_by(state) || state.loading {
         return None;
     }
-    if goal.needs_weights(state) && !weights.take(now_ms) {
+    if goal.needs_weights(state) && !weight_budget.take(now_ms) {
         return None;
     }
     Some(EngineOrder {
--- a/crates/sapphiretrack-core/src/outcome.rs
+++ b/crates/sapphiretrack-core/src/outcome.rs
@@ -1,16 +1,16 @@
-//! What a caller is told about its request.
+//! Outcomes and refusals: what a caller learns about the end of its request.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about the run of a request when its answer ends.
+/// Whether a request has run, as known when its answer ends.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The request ran and its complete answer was sent.
     Complete,
-    /// The request was not run.
+    /// The request did not run.
     NotRun,
-    /// The request may have been run, in part or whole.
+    /// The request may have run, partially or completely.
     Unknown,
 }
 
@@ -25,41 +25,41 @@
     }
 }
 
-/// Why a request was refused or given up.
+/// Why a request was refused or failed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
-    /// No key, or one that no contract lists.
+    /// No caller key was sent, or no contract lists it.
     BadKey,
-    /// The body is not the JSON that the path asks for.
+    /// The body is not the JSON that the path requires.
     MalformedBody,
-    /// The body is over the size limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// A header has a value that cannot be used.
+    /// A header has an invalid value.
     BadHeader,
-    /// No such path or method.
+    /// The path or method does not exist.
     UnknownPath,
     /// No pool of the contract serves this model or service.
     UnknownModel,
     /// The contract has no class of this name.
     UnknownClass,
-    /// A non-idempotent request came without an `idempotency-key` header.
+    /// A non-idempotent request has no `idempotency-key` header.
     IdempotencyKeyRequired,
-    /// The customer is over the request or token rate of its contract.
+    /// The customer exceeds the request or token rate of its contract.
     RateLimited,
-    /// The customer is over the in-flight limit of its contract.
+    /// The customer exceeds the in-flight limit of its contract.
     InFlightLimited,
-    /// No backend server of the pool has room in time.
+    /// No backend server of the pool has capacity in time.
     Overloaded,
     /// The pool has no live backend server.
     NoServer,
     /// The platform could not record the claim of a non-idempotent request.
     PlatformUnavailable,
-    /// The router has reached neither the platform nor a peer for too long.
+    /// The router has had no contact with the platform or a peer for too long.
     Isolated,
     /// The router is stopping.
     Stopping,
-    /// The same idempotency key was used before and its answer is not known.
+    /// The same idempotency key was used before and the answer is not known.
     AlreadyClaimed,
     /// The deadline of the request's class passed.
     DeadlinePassed,
@@ -67,12 +67,12 @@
     ServerFailed,
     /// The idempotency key was used for another request.
     KeyReused,
-    /// The path on a service is spelled in a way that could slip past a path rule.
+    /// The path on a service is spelled in a way that could bypass a path rule.
     BadPath,
 }
 
 impl RefusalCode {
-    /// All codes, in the order in which they are documented.
+    /// All codes, in the order of the documentation.
     pub const ALL: [Self; 20] = [
         Self::BadKey,
         Self::MalformedBody,
@@ -96,7 +96,7 @@
         Self::BadPath,
     ];
 
-    /// The code as it stands in answers and metrics.
+    /// The code as written in answers and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BadKey => "bad_key",
@@ -174,21 +174,21 @@
     }
 }
 
-/// A final answer without the request's result.
+/// A final error answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub code: RefusalCode,
-    /// What is known about the run.
+    /// Whether the request has run.
     pub outcome: Outcome,
-    /// What happened, for a person.
+    /// Human-readable description.
     pub message: String,
-    /// When to come back, where that helps.
+    /// Retry delay, if retrying may help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a request that was not run.
+    /// Creates a refusal of a request that did not run.
     pub fn not_run(code: RefusalCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// An answer to a request that may have run.
+    /// Creates an error answer to a request that may have run.
     pub fn unknown(code: RefusalCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The same refusal with a time to come back.
+    /// Sets the retry delay.
     pub fn retry_after(self, retry_after_ms: u64) -> Self {
         Self {
             retry_after_ms: Some(retry_after_ms),
--- a/crates/sapphiretrack-core/src/outlier.rs
+++ b/crates/sapphiretrack-core/src/outlier.rs
@@ -1,19 +1,19 @@
-//! Outlier detection: servers whose attempts fail are left out for a while, then come back slowly.
+//! Outlier detection: ejects servers with failed attempts for some time, then ramps them up slowly.
 
 use std::collections::BTreeMap;
 
 use crate::ServerId;
 
-/// When a server is left out, and how it comes back.
+/// Settings for ejecting servers and for their return.
 #[derive(Clone, Debug)]
 pub struct OutlierSettings {
-    /// Failures in a row after which a server is left out.
+    /// Consecutive failures after which a server is ejected.
     pub failures_in_row: u32,
-    /// How long a server is left out the first time; doubled each time.
+    /// Duration of the first ejection; doubles with each further one.
     pub ejection_ms: u64,
-    /// The longest time that a server is left out.
+    /// Maximum duration of an ejection.
     pub max_ejection_ms: u64,
-    /// How long a server that comes back takes to its full share.
+    /// Time after an ejection until the server gets its full share again.
     pub slow_start_ms: u64,
 }
 
@@ -28,14 +28,14 @@
     }
 }
 
-/// What a router's own attempts tell about servers.
+/// Server health as observed by a router's own attempts.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
     servers: BTreeMap<ServerId, Health>,
 }
 
-/// What attempts told about one server; a server without failures has no entry.
+/// The failures of one server; a server without failures has no entry.
 #[derive(Clone, Debug, Default)]
 struct Health {
     failures_in_row: u32,
@@ -44,10 +44,10 @@
 }
 
 impl OutlierDetector {
-    /// The smallest part of its share that a server gets when it comes back.
+    /// Fraction of its share that a server gets directly after an ejection.
     const FIRST_SHARE: f64 = 0.1;
 
-    /// A detector that knows nothing yet.
+    /// Creates a detector without recorded failures.
     pub fn new(settings: OutlierSettings) -> Self {
         Self {
             settings,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Notes an attempt that ended well.
+    /// Records a successful attempt.
     pub fn note_success(&mut self, server: ServerId, now_ms: u64) {
         let Some(health) = self.servers.get_mut(&server) else {
             return;
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Notes an attempt that failed; true if the server is left out from now on.
+    /// Records a failed attempt; returns true if it causes an ejection.
     pub fn note_failure(&mut self, server: ServerId, now_ms: u64) -> bool {
         let health = self.servers.entry(server).or_default();
         health.failures_in_row += 1;
-        let recovering =
+        let is_recovering =
             health.ejections > 0 && now_ms < health.ejected_until_ms + self.settings.slow_start_ms;
-        let limit = if recovering {
+        let limit = if is_recovering {
             1
         } else {
             self.settings.failures_in_row
@@ -87,7 +87,7 @@
         true
     }
 
-    /// The part of its usual share that a server gets now: 0 while it is left out.
+    /// Fraction of its usual share that a server gets now; 0 while it is ejected.
     pub fn share(&self, server: ServerId, now_ms: u64) -> f64 {
         let Some(health) = self.servers.get(&server) else {
             return 1.0;
@@ -103,10 +103,10 @@
         (Self::FIRST_SHARE + (1.0 - Self::FIRST_SHARE) * ramp).min(1.0)
     }
 
-    /// The ranked candidates without the servers that are left out; `draw` is a random number
-    /// below 1.
+    /// The ranked candidates without ejected servers; `draw` is a random number below 1.
     ///
-    /// If more than half of them would be left out, the fault is hardly theirs: all stay.
+    /// If more than half of the candidates are ejected, the cause is probably not theirs, and all
+    /// are returned.
     pub fn filter<Ranked, ServerOf>(
         &self,
         candidates: Vec<Ranked>,
@@ -118,15 +118,18 @@
         ServerOf: Fn(&Ranked) -> ServerId,
     {
         let share = |candidate: &Ranked| self.share(server_of(candidate), now_ms);
-        let ejected = candidates.iter().filter(|one| share(one) == 0.0).count();
+        let ejected = candidates
+            .iter()
+            .filter(|candidate| share(candidate) == 0.0)
+            .count();
         if ejected * 2 > candidates.len() {
             return candidates;
         }
-        // Stable: servers that sit this request out are the last resort, in their order.
-        let (first, last): (Vec<_>, Vec<_>) = candidates
+        // Recovering servers that are skipped for this request come last, in the same order.
+        let (preferred, skipped): (Vec<_>, Vec<_>) = candidates
             .into_iter()
             .filter(|candidate| share(candidate) > 0.0)
             .partition(|candidate| draw < share(candidate));
-        first.into_iter().chain(last).collect()
+        preferred.into_iter().chain(skipped).collect()
     }
 }
--- a/crates/sapphiretrack-core/src/path.rs
+++ b/crates/sapphiretrack-core/src/path.rs
@@ -1,12 +1,12 @@
-//! Paths on plain services: one spelling each, so that a path rule cannot be slipped past.
+//! Checks of paths on plain services, so that alternative spellings cannot bypass path rules.
 
 use crate::{Refusal, RefusalCode};
 
-/// Refuses a path with a second spelling that a service could treat as the same path.
+/// Refuses a path that a service could treat as equivalent to a differently spelled one.
 ///
-/// Refused are empty, `.` and `..` segments, backslashes, control characters, parameters after
-/// `;`, and percent-encoded characters that need no encoding or that separate segments. The
-/// query is not looked at.
+/// This covers empty, `.` and `..` segments, backslashes, `#`, characters outside of printable
+/// ASCII, parameters after `;`, malformed percent-encoding, and percent-encoded characters that
+/// need no encoding, separate segments or are control characters. The query is not checked.
 pub fn check_path(path: &str) -> Result<(), Refusal> {
     let path = path.split_once('?').map_or(path, |(path, _)| path);
     let Some(rest) = path.strip_prefix('/') else {
@@ -17,8 +17,8 @@
     }
     let segments: Vec<&str> = rest.split('/').collect();
     for (index, segment) in segments.iter().enumerate() {
-        let last = index + 1 == segments.len();
-        if matches!(*segment, "." | "..") || (segment.is_empty() && !last) {
+        let is_last = index + 1 == segments.len();
+        if matches!(*segment, "." | "..") || (segment.is_empty() && !is_last) {
             return Err(refused("has an empty, `.` or `..` segment"));
         }
         check_encoding(segment)?;
@@ -26,7 +26,8 @@
     Ok(())
 }
 
-/// Whether a rule's prefix covers a path: without regard to case and to slashes at the ends.
+/// Whether a rule's prefix covers a path, ignoring ASCII case, slashes at both ends of the prefix
+/// and leading slashes of the path.
 pub fn prefix_covers(prefix: &str, path: &str) -> bool {
     let prefix = prefix.trim_matches('/').as_bytes();
     let path = path.trim_start_matches('/').as_bytes();
@@ -43,8 +44,8 @@
         let Some(byte) = byte else {
             return Err(refused("has a `%` without two hex digits"));
         };
-        let needless = byte.is_ascii_alphanumeric() || b"-._~/\\;%".contains(&byte);
-        if needless || byte.is_ascii_control() {
+        let is_needless = byte.is_ascii_alphanumeric() || b"-._~/\\;%".contains(&byte);
+        if is_needless || byte.is_ascii_control() {
             return Err(refused("encodes a character that must not be encoded"));
         }
     }
--- a/crates/sapphiretrack-core/src/retry.rs
+++ b/crates/sapphiretrack-core/src/retry.rs
@@ -1,6 +1,6 @@
-//! The retry budget and backoff: retries stay a small part of the requests, whatever fails.
+//! Retry budget and backoff, which keep retries a small fraction of all requests.
 
-/// Allows retries as a share of the requests that came.
+/// Limits retries to a fraction of the requests received.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     retries_per_request: f64,
@@ -9,10 +9,10 @@
 }
 
 impl RetryBudget {
-    /// Retries that are allowed before any request came.
+    /// Retries allowed before any request was received.
     const RESERVE: f64 = 5.0;
 
-    /// A budget of this many retries for each request.
+    /// Creates a budget that gains this many retries per request.
     pub fn new(retries_per_request: f64) -> Self {
         Self {
             retries_per_request,
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Notes a request.
+    /// Records a request, which adds to the budget.
     pub fn note_request(&mut self) {
         self.level = (self.level + self.retries_per_request).min(self.capacity);
     }
 
-    /// Takes one retry, if the budget allows.
+    /// Takes one retry from the budget; returns false if it is used up.
     pub fn try_retry(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
@@ -36,13 +36,15 @@
     }
 }
 
-/// The longest wait before the first retry of a request; doubled for each further one.
+/// Maximum wait before the first retry of a request; doubles with each further one.
 const BACKOFF_MS: u64 = 20;
-/// The longest wait before any retry.
+/// Maximum wait before any retry.
 const MAX_BACKOFF_MS: u64 = 200;
 
-/// How long to wait before the next attempt: anywhere up to a bound that doubles, so that
-/// routers that failed together do not retry together. `draw` is a random number below 1.
+/// The wait before the next attempt: a random part of a bound that doubles with each attempt.
+///
+/// The randomness keeps routers that failed at the same time from retrying at the same time. `draw`
+/// is a random number below 1.
 pub fn backoff_ms(attempts: u32, draw: f64) -> u64 {
     let doublings = attempts.saturating_sub(1).min(8);
     let bound_ms = (BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
