--- a/crates/sapphiretrack-core/src/flap.rs
+++ b/crates/sapphiretrack-core/src/flap.rs
@@ -24,15 +24,15 @@
 
 /// The failures of one VM. After a single failure the VM is used again at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Flaps {
+pub struct FlapHistory {
     failures: u32,
     is_down: bool,
     up_since_ms: u64,
 }
 
-impl Flaps {
+impl FlapHistory {
     /// Records whether the VM is up now.
-    pub fn note(&mut self, up: bool, damping: &Damping, now_ms: u64) {
+    pub fn record(&mut self, up: bool, damping: &Damping, now_ms: u64) {
         if up && self.is_down {
             self.up_since_ms = now_ms;
         }
--- a/crates/sapphiretrack-core/src/lib.rs
+++ b/crates/sapphiretrack-core/src/lib.rs
@@ -66,7 +66,7 @@
 pub use endings::Endings;
 pub use entry::{EntryCandidate, entry_addresses};
 pub use fair_share::{Demand, FULL_FOR_MS, PoolShares, fair_shares};
-pub use flap::{Damping, Flaps};
+pub use flap::{Damping, FlapHistory};
 pub use held_budget::{Admission, HeldBudget, NO_STEWARD_RETRY_MS, Shortage};
 pub use ids::{AttemptId, ChatKey, ReservationId, RouterId, ServerId, WorkspaceKey, hash_parts};
 pub use isolation::Hearing;
--- a/crates/sapphiretrack-core/src/peer_roster.rs
+++ b/crates/sapphiretrack-core/src/peer_roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::{
-    Damping, Flaps, HeartbeatTaken, Incarnation, PeerHeartbeat, RosterChange, RouterId,
+    Damping, FlapHistory, HeartbeatTaken, Incarnation, PeerHeartbeat, RosterChange, RouterId,
     RouterProfile, VmRecord, VmRole, VmState,
 };
 
@@ -46,7 +46,7 @@
     leaving_incarnation: Option<Incarnation>,
     /// When the router was last lost.
     lost_ms: Option<u64>,
-    flaps: Flaps,
+    flaps: FlapHistory,
     seen_ms: u64,
 }
 
@@ -107,9 +107,9 @@
             return HeartbeatTaken::NeedsProfile;
         };
         if restarted && known.is_some() {
-            record.flaps.note(false, &self.settings.damping, now_ms);
+            record.flaps.record(false, &self.settings.damping, now_ms);
         }
-        record.flaps.note(true, &self.settings.damping, now_ms);
+        record.flaps.record(true, &self.settings.damping, now_ms);
         record.incarnation = heartbeat.incarnation;
         record.sequence = heartbeat.sequence;
         record.seen_ms = now_ms;
@@ -222,7 +222,7 @@
         let peer = self.peers.remove(&router)?;
         let damping = self.settings.damping;
         if let Some(record) = self.records.get_mut(&router) {
-            record.flaps.note(false, &damping, now_ms);
+            record.flaps.record(false, &damping, now_ms);
             record.lost_ms = Some(now_ms);
         }
         Some(RosterChange::Lost(peer.profile.name))
--- a/crates/sapphiretrack-core/src/server_roster.rs
+++ b/crates/sapphiretrack-core/src/server_roster.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    Damping, Flaps, Incarnation, LoadReport, ServerId, UNKNOWN_INCARNATION, VmRecord, VmRole,
+    Damping, FlapHistory, Incarnation, LoadReport, ServerId, UNKNOWN_INCARNATION, VmRecord, VmRole,
     VmState,
 };
 
@@ -79,7 +79,7 @@
     pub report: LoadReport,
     reported_ms: Option<u64>,
     failed_reports: u32,
-    flaps: Flaps,
+    flaps: FlapHistory,
     /// Whether a peer that watches the server reports it unreachable; overwritten by own reports.
     is_reported_unreachable: bool,
     /// When the server was last in the list.
@@ -164,11 +164,11 @@
         let Some(report) = report else {
             server.failed_reports = server.failed_reports.saturating_add(1);
             let up = server.failed_reports < MAX_FAILED_REPORTS;
-            server.flaps.note(up, &damping, now_ms);
+            server.flaps.record(up, &damping, now_ms);
             return None;
         };
         server.failed_reports = 0;
-        server.flaps.note(true, &damping, now_ms);
+        server.flaps.record(true, &damping, now_ms);
         server
             .take_load(report, report.leaving, now_ms)
             .then(|| RosterChange::Leaving(server.record.name.clone()))
@@ -192,7 +192,7 @@
         if sighting.reachable {
             server.failed_reports = 0;
             let damping = self.settings.damping;
-            server.flaps.note(true, &damping, now_ms);
+            server.flaps.record(true, &damping, now_ms);
         } else {
             server.reported_ms = reported_ms;
         }
@@ -305,7 +305,7 @@
             report: LoadReport::default(),
             reported_ms: None,
             failed_reports: 0,
-            flaps: Flaps::default(),
+            flaps: FlapHistory::default(),
             is_reported_unreachable: false,
             listed_ms: now_ms,
             unlisted_since_ms: None,
