--- a/crates/sapphiretrack-core/src/held_budget.rs
+++ b/crates/sapphiretrack-core/src/held_budget.rs
@@ -187,7 +187,7 @@
     /// Records which router answers as steward.
     ///
     /// Amounts admitted in an emergency are not reported to a new steward: its bucket starts at
-    /// [`UNSURE_SHARE`](crate::UNSURE_SHARE) and did not refill while no steward answered.
+    /// [`UNSURE_SHARE`](crate::UNSURE_SHARE) and did not refill in the meantime.
     pub fn answered_by(&mut self, steward: RouterId) {
         if self.steward.replace(steward) != Some(steward)
             && let Some(emergency) = &mut self.emergency
--- a/crates/sapphiretrack-core/src/server_roster.rs
+++ b/crates/sapphiretrack-core/src/server_roster.rs
@@ -14,7 +14,7 @@
 /// Consecutive failures to get a load report after which a server gets no new work.
 const MAX_FAILED_REPORTS: u32 = 3;
 /// Number of leaving incarnations remembered per server, far more than a list can lag behind.
-const MAX_LEFT_INCARNATIONS: usize = 8;
+const MAX_LEAVING_INCARNATIONS: usize = 8;
 /// Maximum number of leaving marks kept for servers that are not listed yet.
 const MAX_UNLISTED_MARKS: usize = 1_024;
 
@@ -354,7 +354,7 @@
         if self.leaving_incarnations.contains(&incarnation) {
             return false;
         }
-        if self.leaving_incarnations.len() == MAX_LEFT_INCARNATIONS {
+        if self.leaving_incarnations.len() == MAX_LEAVING_INCARNATIONS {
             self.leaving_incarnations.remove(0);
         }
         self.leaving_incarnations.push(incarnation);
