--- a/crates/sapphiretrack-core/src/placement/lost_routers.rs
+++ b/crates/sapphiretrack-core/src/placement/lost_routers.rs
@@ -1,13 +1,14 @@
-//! Whose snapshot a router reads: that of each peer which went without a word.
+//! Detection of peers that disappeared without a planned stop; their snapshots are then read.
 
 use std::collections::BTreeMap;
 
 use crate::{RouterId, RouterView, VmState};
 
-/// How long the snapshot of a peer that comes and goes is not read again.
-const AGAIN_AFTER_MS: u64 = 60_000;
+/// Minimum interval between two reads of the snapshot of a peer that repeatedly disappears.
+const MIN_READ_INTERVAL_MS: u64 = 60_000;
 
-/// Watches which peers go; one that leaves as planned hands over what it knows by itself.
+/// Detects peers that disappeared while live. A leaving peer is not reported, because it hands over
+/// its placement memory itself.
 #[derive(Clone, Debug, Default)]
 pub struct LostRouters {
     seen: BTreeMap<RouterId, VmState>,
@@ -15,13 +16,14 @@
 }
 
 impl LostRouters {
-    /// Takes in the routers that are seen now; returns those that were lost since.
+    /// Updates the routers that are seen now and returns those lost since the last call, except the
+    /// ones that were already returned within the minimum read interval.
     pub fn note(&mut self, routers: &[RouterView], me: RouterId, now_ms: u64) -> Vec<RouterId> {
         let others = routers.iter().filter(|router| router.id != me);
-        let now: BTreeMap<_, _> = others.map(|router| (router.id, router.state)).collect();
-        let before = std::mem::replace(&mut self.seen, now);
+        let states: BTreeMap<_, _> = others.map(|router| (router.id, router.state)).collect();
+        let before = std::mem::replace(&mut self.seen, states);
         self.read_ms
-            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < AGAIN_AFTER_MS);
+            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < MIN_READ_INTERVAL_MS);
         let gone = before
             .into_iter()
             .filter(|(id, state)| *state == VmState::Live && !self.seen.contains_key(id));
--- a/crates/sapphiretrack-core/src/placement/memory.rs
+++ b/crates/sapphiretrack-core/src/placement/memory.rs
@@ -1,20 +1,20 @@
-//! A router's bounded memory of where chats were last served.
+//! A router's fixed-size table of the servers that last served each chat.
 
 use crate::{ChatKey, Incarnation, ServerId, WarmHint};
 
-/// Entries that compete for the same few places.
+/// Entries per bucket; a chat's key selects its bucket.
 const BUCKET_ENTRIES: usize = 8;
 
-/// Memory that one remembered chat takes.
+/// Size of one entry, in bytes.
 pub const MEMORY_BYTES_PER_CHAT: usize = size_of::<Entry>();
 
-/// What a clock that starts at 0 reads in the memory: places noted before the clock began, told by
-/// another router, keep their order.
-const CLOCK_START_S: u64 = 1 << 30;
+/// Offset of the stored times, in seconds. The router's clock starts at 0, and with the offset the
+/// hints that other routers recorded before that keep their order.
+const CLOCK_OFFSET_S: u64 = 1 << 30;
 
 const _: () = assert!(MEMORY_BYTES_PER_CHAT <= 64, "a chat takes at most 64 bytes");
 
-/// Remembers where chats were last served; the oldest of a bucket makes room for a new chat.
+/// The servers that last served each chat. In a full bucket, a new chat replaces the oldest entry.
 #[derive(Debug)]
 pub struct PlacementMemory {
     entries: Vec<Entry>,
@@ -22,21 +22,22 @@
     len: usize,
 }
 
-/// One chat; empty when its chat is none.
+/// The entry of one chat; empty if `chat` is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
     chat: Option<ChatKeyBits>,
     server: u64,
     incarnation: Incarnation,
     tokens: u32,
-    noted_s: u32,
+    recorded_s: u32,
 }
 
-/// A chat's key; zero stands for no chat, and for the one chat of 2^64 whose key is zero.
+/// A non-zero chat key. Zero marks an empty entry, so the one chat of 2^64 whose key is zero is
+/// never stored.
 type ChatKeyBits = std::num::NonZeroU64;
 
 impl PlacementMemory {
-    /// An empty memory for this many chats.
+    /// Creates an empty memory with at least this capacity, in chats.
     pub fn new(capacity: usize) -> Self {
         let buckets = capacity.div_ceil(BUCKET_ENTRIES).max(1);
         Self {
@@ -46,37 +47,37 @@
         }
     }
 
-    /// Notes where a chat was served, and how many of its tokens are cached there.
-    pub fn remember(&mut self, chat: ChatKey, place: WarmHint, now_ms: u64) {
+    /// Records which server served a chat and how many of the chat's tokens it has cached.
+    pub fn remember(&mut self, chat: ChatKey, hint: WarmHint, now_ms: u64) {
         let Some(key) = ChatKeyBits::new(chat.0) else {
             return;
         };
-        let index = self.place_for(key);
-        self.put(index, Entry::new(key, place, now_ms));
+        let index = self.index_for(key);
+        self.put(index, Entry::new(key, hint, now_ms));
     }
 
-    /// Takes in what another router knows; it never takes the place of something newer. Tells
-    /// whether it was taken.
-    pub fn merge(&mut self, chat: ChatKey, place: WarmHint, now_ms: u64) -> bool {
+    /// Merges a hint from another router, unless it would replace a newer entry or one of the same
+    /// second. Returns whether it was stored.
+    pub fn merge(&mut self, chat: ChatKey, hint: WarmHint, now_ms: u64) -> bool {
         let Some(key) = ChatKeyBits::new(chat.0) else {
             return false;
         };
-        let told = Entry::new(key, place, now_ms);
-        let index = self.place_for(key);
+        let received = Entry::new(key, hint, now_ms);
+        let index = self.index_for(key);
         let known = &self.entries[index];
-        let taken = known.chat.is_none() || known.noted_s < told.noted_s;
-        if taken {
-            self.put(index, told);
+        let is_newer = known.chat.is_none() || known.recorded_s < received.recorded_s;
+        if is_newer {
+            self.put(index, received);
         }
-        taken
+        is_newer
     }
 
-    /// The buckets, of which [`PlacementMemory::in_buckets`] gives a part at a time.
+    /// Number of buckets; [`PlacementMemory::in_buckets`] iterates over a range of them.
     pub fn buckets(&self) -> usize {
         self.buckets
     }
 
-    /// What is remembered in some buckets and no older than `max_age_ms`.
+    /// The chats in a range of buckets whose hints are no older than `max_age_ms`.
     pub fn in_buckets(
         &self,
         buckets: std::ops::Range<usize>,
@@ -86,45 +87,46 @@
         let end = buckets.end.min(self.buckets) * BUCKET_ENTRIES;
         let start = (buckets.start * BUCKET_ENTRIES).min(end);
         let entries = self.entries[start..end].iter();
-        let known = entries.filter_map(move |entry| Some((entry.chat?, entry.place(now_ms))));
+        let known = entries.filter_map(move |entry| Some((entry.chat?, entry.hint(now_ms))));
         known
-            .filter(move |(_, place)| place.age_ms <= max_age_ms)
-            .map(|(key, place)| (ChatKey(key.get()), place))
+            .filter(move |(_, hint)| hint.age_ms <= max_age_ms)
+            .map(|(key, hint)| (ChatKey(key.get()), hint))
     }
 
-    /// Where a chat was last served.
+    /// The server that last served a chat; `None` if the chat is not stored.
     pub fn recall(&self, chat: ChatKey, now_ms: u64) -> Option<WarmHint> {
         let key = ChatKeyBits::new(chat.0)?;
         let entry = self.entries[self.bucket(key)]
             .iter()
             .find(|entry| entry.chat == Some(key))?;
-        Some(entry.place(now_ms))
+        Some(entry.hint(now_ms))
     }
 
-    /// How many chats are remembered.
+    /// Number of stored chats.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none is.
+    /// Whether no chat is stored.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The memory that all entries take, used or not.
+    /// Size of all entries, used or empty, in bytes.
     pub fn bytes(&self) -> usize {
         self.entries.capacity() * MEMORY_BYTES_PER_CHAT
     }
 
-    /// Where a chat's entry goes: over its own, to a free place, or over the oldest.
-    fn place_for(&self, key: ChatKeyBits) -> usize {
+    /// The index for a chat's entry in its bucket: the existing entry, else an empty one, else the
+    /// oldest one.
+    fn index_for(&self, key: ChatKeyBits) -> usize {
         let range = self.bucket(key);
         let start = range.start;
         let bucket = &self.entries[range];
-        let own = bucket.iter().position(|entry| entry.chat == Some(key));
-        let free = || bucket.iter().position(|entry| entry.chat.is_none());
-        let oldest = || (0..BUCKET_ENTRIES).min_by_key(|index| bucket[*index].noted_s);
-        start + own.or_else(free).or_else(oldest).unwrap_or_default()
+        let existing = bucket.iter().position(|entry| entry.chat == Some(key));
+        let empty = || bucket.iter().position(|entry| entry.chat.is_none());
+        let oldest = || (0..BUCKET_ENTRIES).min_by_key(|index| bucket[*index].recorded_s);
+        start + existing.or_else(empty).or_else(oldest).unwrap_or_default()
     }
 
     fn put(&mut self, index: usize, entry: Entry) {
@@ -139,24 +141,24 @@
 }
 
 impl Entry {
-    fn new(key: ChatKeyBits, place: WarmHint, now_ms: u64) -> Self {
-        let noted_ms = (CLOCK_START_S * 1_000 + now_ms).saturating_sub(place.age_ms);
+    fn new(key: ChatKeyBits, hint: WarmHint, now_ms: u64) -> Self {
+        let recorded_ms = (CLOCK_OFFSET_S * 1_000 + now_ms).saturating_sub(hint.age_ms);
         Self {
             chat: Some(key),
-            server: place.server.0,
-            incarnation: place.incarnation,
-            tokens: place.tokens,
-            noted_s: (noted_ms / 1_000) as u32,
+            server: hint.server.0,
+            incarnation: hint.incarnation,
+            tokens: hint.tokens,
+            recorded_s: (recorded_ms / 1_000) as u32,
         }
     }
 
-    fn place(&self, now_ms: u64) -> WarmHint {
-        let now_ms = CLOCK_START_S * 1_000 + now_ms;
+    fn hint(&self, now_ms: u64) -> WarmHint {
+        let now_ms = CLOCK_OFFSET_S * 1_000 + now_ms;
         WarmHint {
             server: ServerId(self.server),
             incarnation: self.incarnation,
             tokens: self.tokens,
-            age_ms: now_ms.saturating_sub(u64::from(self.noted_s) * 1_000),
+            age_ms: now_ms.saturating_sub(u64::from(self.recorded_s) * 1_000),
         }
     }
 }
--- a/crates/sapphiretrack-core/src/placement/settings.rs
+++ b/crates/sapphiretrack-core/src/placement/settings.rs
@@ -1,29 +1,31 @@
-//! Costs and sizes that rule placement.
+//! Cost estimates and limits for placement.
 
 use crate::LoadBound;
 
-/// Costs and sizes that rule placement.
+/// Cost estimates and limits for placement.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementSettings {
-    /// Time to compute one uncached prompt token.
+    /// Time to compute one uncached prompt token, in microseconds.
     pub prefill_us_per_token: f64,
-    /// Time to begin an import of a chat's cached tokens from another server.
+    /// Fixed cost of importing a chat's cached tokens from another server.
     pub import_ms: f64,
-    /// Time to import one cached token.
+    /// Additional time to import one cached token, in microseconds.
     pub import_us_per_token: f64,
-    /// Time that a request in flight adds to the wait of a new one.
+    /// Delay that each request in flight on a server adds to a new request.
     pub queue_ms_per_request: f64,
-    /// The smallest number of servers that a workspace's chats start on.
+    /// Minimum number of servers in a workspace's subset, where its new chats are placed.
     pub subset_servers: usize,
-    /// How many times its share of the load a workspace's subset holds.
+    /// Size of a workspace's subset relative to the workspace's share of the load.
     pub subset_spread: f64,
-    /// The part of a prompt that a chat without evidence is expected to find at its home.
+    /// Fraction of a prompt that is assumed to be cached on the chat's home server, even without a
+    /// hint.
     pub home_warm_fraction: f64,
-    /// The part of a prompt that a chat is expected to find on its workspace's other servers.
+    /// Fraction of a prompt that is assumed to be cached on the other servers of the workspace's
+    /// subset.
     pub subset_warm_fraction: f64,
-    /// After this time half of the chats noted as warm are expected to be evicted.
+    /// Time after which half of the tokens recorded as cached are assumed to be evicted.
     pub warm_half_life_ms: u64,
-    /// The load bound that stewards grant under; servers that look full are tried last.
+    /// Load bound that stewards apply; servers that appear to have reached it are ranked last.
     pub bound: LoadBound,
 }
 
--- a/crates/sapphiretrack-core/src/placement/ask_memory.rs
+++ b/crates/sapphiretrack-core/src/placement/steward_backoff.rs
@@ -1,15 +1,15 @@
-//! Which stewards are not worth asking for a moment.
+//! Backoff for stewards that recently failed to answer or declined to count a server's slots.
 
 use std::collections::BTreeMap;
 
 use crate::{RouterId, ServerId};
 
-/// How long a router passes over stewards that did not help.
+/// How long a router sends no slot requests to a steward after a failure.
 #[derive(Clone, Copy, Debug)]
 pub struct AskSettings {
-    /// After a call that was not answered.
+    /// After a call that got no reply; applies to all servers of the steward.
     pub silent_ms: u64,
-    /// After an answer that the router called does not count the server's slots.
+    /// After a reply that the called router is not the server's steward; applies to this server.
     pub not_steward_ms: u64,
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// Remembers for a moment which stewards did not answer or do not count.
+/// Tracks which stewards recently did not reply or are not the steward of a server.
 ///
-/// Without it each request of a router that is cut off waits for each silent steward in turn,
-/// and sends the same questions again.
+/// Without it, each request of a partitioned router would wait for every unreachable steward in
+/// turn and repeat the same calls.
 #[derive(Debug, Default)]
 pub struct AskMemory {
     settings: AskSettings,
@@ -34,7 +34,7 @@
 }
 
 impl AskMemory {
-    /// An empty memory.
+    /// Creates an empty table.
     pub fn new(settings: AskSettings) -> Self {
         Self {
             settings,
@@ -42,18 +42,18 @@
         }
     }
 
-    /// Notes that a steward did not answer.
+    /// Records that a steward did not reply.
     pub fn note_silent(&mut self, steward: RouterId, now_ms: u64) {
         let until_ms = now_ms + self.settings.silent_ms;
         self.silent_until_ms.insert(steward, until_ms);
     }
 
-    /// Notes that a router was seen, by an answer or on its own.
+    /// Records a sign of life of a router, such as a reply or a heartbeat.
     pub fn note_seen(&mut self, router: RouterId) {
         self.silent_until_ms.remove(&router);
     }
 
-    /// Notes that a router said that it does not count a server's slots.
+    /// Records a router's reply that it is not a server's steward.
     pub fn note_not_steward(&mut self, steward: RouterId, server: ServerId, now_ms: u64) {
         let until_ms = now_ms + self.settings.not_steward_ms;
         self.not_steward_until_ms.retain(|_, at_ms| *at_ms > now_ms);
@@ -61,10 +61,10 @@
             .insert((steward, server), until_ms);
     }
 
-    /// Whether a router may be asked for a server's slot now.
+    /// Whether a slot on a server may be requested from this steward now.
     pub fn may_ask(&self, steward: RouterId, server: ServerId, now_ms: u64) -> bool {
-        let is_over = |until_ms: Option<&u64>| until_ms.is_none_or(|at_ms| *at_ms <= now_ms);
-        is_over(self.silent_until_ms.get(&steward))
-            && is_over(self.not_steward_until_ms.get(&(steward, server)))
+        let has_expired = |until_ms: Option<&u64>| until_ms.is_none_or(|at_ms| *at_ms <= now_ms);
+        has_expired(self.silent_until_ms.get(&steward))
+            && has_expired(self.not_steward_until_ms.get(&(steward, server)))
     }
 }
--- a/crates/sapphiretrack-core/src/placement/subset.rs
+++ b/crates/sapphiretrack-core/src/placement/subset.rs
@@ -1,26 +1,27 @@
-//! The servers that a workspace's chats start on.
+//! The subset of a pool's servers where a workspace's new chats are placed.
 
 use crate::{PlacementSettings, ServerId, ServerView, WorkspaceKey, rendezvous_score};
 
-/// How many servers a workspace with this share of the pool's load starts its chats on.
+/// Size of the subset of a workspace with this share of the pool's load, out of `servers`.
 ///
-/// The size moves in powers of two, so that routers whose shares differ a little
-/// still agree, and a workspace whose load wavers does not lose its homes.
-pub(crate) fn subset_size(settings: &PlacementSettings, live: usize, share: f64) -> usize {
-    let wanted = (share.clamp(0.0, 1.0) * live as f64 * settings.subset_spread).ceil() as usize;
+/// The size is rounded up to a power of two, so that routers with slightly different estimates of
+/// the share agree, and the home servers of chats don't move with small changes of the load.
+pub(crate) fn subset_size(settings: &PlacementSettings, servers: usize, share: f64) -> usize {
+    let wanted = (share.clamp(0.0, 1.0) * servers as f64 * settings.subset_spread).ceil() as usize;
     wanted
         .max(settings.subset_servers)
         .next_power_of_two()
-        .min(live)
+        .min(servers)
 }
 
-/// The workspace's servers: the ones with the highest rendezvous scores, in no order.
+/// The workspace's servers, which are those with the highest rendezvous scores, in no particular
+/// order.
 pub(crate) fn workspace_subset(
     workspace: WorkspaceKey,
-    live: &[&ServerView],
+    servers: &[&ServerView],
     size: usize,
 ) -> Vec<ServerId> {
-    let mut scored: Vec<(f64, ServerId)> = live
+    let mut scored: Vec<(f64, ServerId)> = servers
         .iter()
         .map(|server| (rendezvous_score(workspace.0, server.id.0, 1.0), server.id))
         .collect();
--- a/crates/sapphiretrack-core/src/placement/warm_list.rs
+++ b/crates/sapphiretrack-core/src/placement/warm_list.rs
@@ -1,4 +1,4 @@
-//! Where chats are warm, as one router tells another or its successor.
+//! List of the servers that have chats cached, as sent to other routers and stored in snapshots.
 
 use std::collections::BTreeMap;
 
@@ -6,40 +6,41 @@
 
 use crate::{ChatKey, Incarnation, ServerId, WarmHint};
 
-/// Where chats are warm. It tells ages and no instants, since each router has a clock of its own.
+/// The servers that have chats cached. It contains ages instead of times, since each router has its
+/// own clock.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WarmList {
-    /// The servers, which chats name by their place here.
+    /// The servers; chats refer to them by index.
     pub servers: Vec<(ServerId, Incarnation)>,
     /// The chats.
     pub chats: Vec<WarmChat>,
 }
 
-/// One chat of a list.
+/// A chat of a list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WarmChat {
     /// The chat.
     pub chat: ChatKey,
-    /// The place of its server in the list.
+    /// The index of its server in [`WarmList::servers`].
     pub server: u16,
-    /// Its tokens that are cached there.
+    /// Number of its tokens that are cached there.
     pub tokens: u32,
-    /// How long ago that was noted, rounded up: passing knowledge on never makes it newer.
+    /// Age of the hint, rounded up so that forwarding never makes it newer.
     pub age_s: u32,
 }
 
 impl WarmList {
-    /// A list of these places.
-    pub fn new<Places>(places: Places) -> Self
+    /// Creates a list of these hints. Chats on servers beyond the first 65,536 are left out.
+    pub fn new<Hints>(hints: Hints) -> Self
     where
-        Places: IntoIterator<Item = (ChatKey, WarmHint)>,
+        Hints: IntoIterator<Item = (ChatKey, WarmHint)>,
     {
         let mut list = Self::default();
-        let mut known = BTreeMap::new();
-        for (chat, place) in places {
-            let server = (place.server, place.incarnation);
+        let mut indices = BTreeMap::new();
+        for (chat, hint) in hints {
+            let server = (hint.server, hint.incarnation);
             let next = list.servers.len();
-            let index = *known.entry(server).or_insert(next);
+            let index = *indices.entry(server).or_insert(next);
             let Ok(server_index) = u16::try_from(index) else {
                 continue;
             };
@@ -49,32 +50,33 @@
             list.chats.push(WarmChat {
                 chat,
                 server: server_index,
-                tokens: place.tokens,
-                age_s: u32::try_from(place.age_ms.div_ceil(1_000)).unwrap_or(u32::MAX),
+                tokens: hint.tokens,
+                age_s: u32::try_from(hint.age_ms.div_ceil(1_000)).unwrap_or(u32::MAX),
             });
         }
         list
     }
 
-    /// The places, older by `more_ms`; a chat whose server is not listed is passed over.
-    pub fn places(&self, more_ms: u64) -> impl Iterator<Item = (ChatKey, WarmHint)> {
+    /// The hints, with `extra_age_ms` added to their ages. Chats whose server is not in the list
+    /// are skipped.
+    pub fn places(&self, extra_age_ms: u64) -> impl Iterator<Item = (ChatKey, WarmHint)> {
         self.chats.iter().filter_map(move |warm| {
             let (server, incarnation) = *self.servers.get(usize::from(warm.server))?;
-            let place = WarmHint {
+            let hint = WarmHint {
                 server,
                 incarnation,
                 tokens: warm.tokens,
-                age_ms: (u64::from(warm.age_s) * 1_000).saturating_add(more_ms),
+                age_ms: (u64::from(warm.age_s) * 1_000).saturating_add(extra_age_ms),
             };
-            Some((warm.chat, place))
+            Some((warm.chat, hint))
         })
     }
 }
 
-/// Keeps the newest places, in no order.
-pub fn keep_newest(places: &mut Vec<(ChatKey, WarmHint)>, limit: usize) {
-    if places.len() > limit {
-        places.select_nth_unstable_by_key(limit, |(chat, place)| (place.age_ms, *chat));
-        places.truncate(limit);
+/// Truncates the list to its newest hints, in no particular order.
+pub fn keep_newest(hints: &mut Vec<(ChatKey, WarmHint)>, limit: usize) {
+    if hints.len() > limit {
+        hints.select_nth_unstable_by_key(limit, |(chat, hint)| (hint.age_ms, *chat));
+        hints.truncate(limit);
     }
 }
--- a/crates/sapphiretrack-core/src/placement/warmth.rs
+++ b/crates/sapphiretrack-core/src/placement/warmth.rs
@@ -1,23 +1,23 @@
-//! Evidence of where a chat's prefix is cached.
+//! Hints about which servers have a chat's prefix cached.
 
 use crate::{Incarnation, PoolView, ServerId, ServerView, UNKNOWN_INCARNATION};
 
-/// Where a chat was last served, and how much of it is cached there.
+/// A server that served a chat, and how much of the chat it had cached.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WarmHint {
     /// The server.
     pub server: ServerId,
-    /// Its incarnation then; a restarted server has lost its cache.
+    /// The server's incarnation at that time; a restarted server has lost its cache.
     pub incarnation: Incarnation,
-    /// How many tokens of the chat it has cached.
+    /// Number of the chat's tokens that it had cached.
     pub tokens: u32,
-    /// How long ago this was so.
+    /// Age of the hint.
     pub age_ms: u64,
 }
 
-/// The server that a chat's cached tokens are best imported from, and how many it likely has.
+/// The server with the most of a chat's cached tokens, and their expected number.
 ///
-/// A leaving server still exports; one whose incarnation is not known does not.
+/// Leaving servers can still export tokens; servers of unknown incarnation are not considered.
 pub(crate) fn import_source(
     pool: &PoolView,
     hints: &[WarmHint],
@@ -35,7 +35,7 @@
         .max_by(|a, b| a.1.total_cmp(&b.1))
 }
 
-/// The tokens of a prompt that a server is expected to have cached, by the best hint.
+/// The number of prompt tokens that a server is expected to have cached, from the best hint for it.
 pub(crate) fn expected_warm_tokens(
     server: &ServerView,
     hints: &[WarmHint],
@@ -52,8 +52,8 @@
         .fold(0.0, f64::max)
 }
 
-/// Whether the hint may be of the server's present run: a server not yet seen gets the benefit,
-/// and so does a hint noted before its server was first seen.
+/// Whether the hint may apply to the server's current incarnation. This is assumed if the server
+/// has not reported its incarnation yet, or had not when the hint was recorded.
 fn same_incarnation(server: &ServerView, hint: &WarmHint) -> bool {
     server.report.incarnation == UNKNOWN_INCARNATION
         || hint.incarnation == UNKNOWN_INCARNATION
--- a/crates/sapphiretrack-core/tests/placement.rs
+++ b/crates/sapphiretrack-core/tests/placement.rs
@@ -189,14 +189,14 @@
 #[test]
 fn a_wait_is_only_entered_when_it_is_expected_to_be_met() {
     let settings = WaitSettings {
-        deadline_part: 0.5,
+        deadline_fraction: 0.5,
         ..WaitSettings::default()
     };
     assert_eq!(wait_for_room(&settings, 0, 0, 60_000), None);
     assert_eq!(wait_for_room(&settings, 1, 0, 60_000), None);
     assert_eq!(wait_for_room(&settings, 100, 0, 60_000), Some(100));
     assert_eq!(
-        wait_for_room(&settings, 100, settings.longest_ms, 60_000),
+        wait_for_room(&settings, 100, settings.max_total_ms, 60_000),
         None
     );
     assert_eq!(wait_for_room(&settings, 100, 0, 150), None);
@@ -205,7 +205,7 @@
 #[test]
 fn a_wait_for_a_steward_gets_longer_and_ends() {
     let settings = WaitSettings {
-        deadline_part: 0.5,
+        deadline_fraction: 0.5,
         ..WaitSettings::default()
     };
     let mut waited_ms = 0;
@@ -230,7 +230,7 @@
             waited_ms += wait_ms;
         }
         assert!(waited_ms > 0);
-        let part_ms = (deadline_ms as f64 * settings.deadline_part) as u64;
+        let part_ms = (deadline_ms as f64 * settings.deadline_fraction) as u64;
         assert!(waited_ms <= part_ms, "{waited_ms} of {deadline_ms}");
     }
 }
