--- a/crates/sapphiretrack-core/tests/common/mod.rs
+++ b/crates/sapphiretrack-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One server with room for two requests, as tests of its steward ask for slots on it.
+//! Helpers for tests of a steward: one server with a load bound of two requests.
 
 use sapphiretrack_core::{
     Grant, HeldSlots, Ledger, LoadBound, PoolLoad, ReservationId, ReserveRequest, RouterId,
@@ -7,10 +7,10 @@
 
 /// The server.
 pub const SERVER: ServerId = ServerId(7);
-/// Requests that it may hold.
+/// The server's load bound, in requests.
 pub const BOUND: usize = 2;
 
-/// What a router says that it holds on the server.
+/// A router's list of the slots that it holds on the server.
 pub fn listing(reservations: &[u32], next_reservation: u32) -> HeldSlots {
     let held = reservations.iter().copied().map(ReservationId).collect();
     HeldSlots {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Asks the steward for a slot.
+/// Requests a slot on the server from its steward.
 pub fn reserve(ledger: &mut Ledger, router: RouterId, reservation: u32, now_ms: u64) -> Grant {
     let load = PoolLoad {
         live_servers: 1,
--- a/crates/sapphiretrack-core/tests/leases.rs
+++ b/crates/sapphiretrack-core/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Lease histories: two holders, pauses, lost replies, late orders, both kinds of engine.
+//! Leases and engine orders: two holders, pauses, lost replies and delayed orders, with engines
+//! that check fencing numbers and engines that ignore them.
 
 use sapphiretrack_core::{
     EngineGoal, EngineOrder, EngineState, FencingCheck, LeaseKeeper, LeaseRow, LeaseStep,
@@ -15,7 +16,7 @@
     LeaseKeeper::new(RouterId(router), 1, TERMS)
 }
 
-/// Reads, decides and writes at once.
+/// Reads the row, decides and writes without a delay.
 fn step(keeper: &mut LeaseKeeper, table: &mut Option<LeaseRow>, now_ms: u64) {
     let seen = *table;
     let LeaseStep::Write(row) = keeper.decide(seen.as_ref(), now_ms, now_ms) else {
@@ -26,19 +27,19 @@
 }
 
 #[test]
-fn a_holder_counts_from_before_it_asked_with_the_margin_off() {
+fn a_lease_counts_from_before_the_write_minus_the_margin() {
     let mut holder = keeper(1);
     let LeaseStep::Write(row) = holder.decide(None, 1, 500) else {
         panic!("the lease is free");
     };
-    // The reply came at 4 s; the lease counts from 500 ms all the same.
+    // Even if the reply arrives at 4 s, the lease counts from the start of the write at 500 ms.
     holder.note_written(&row, 500);
     assert_eq!(holder.fencing(9_499), Some(1));
     assert_eq!(holder.fencing(9_500), None);
 }
 
 #[test]
-fn a_contender_waits_the_whole_lease_from_when_it_first_saw_the_row() {
+fn a_contender_waits_a_full_lease_from_when_it_first_saw_the_row() {
     let mut table = None;
     let (mut holder, mut contender) = (keeper(1), keeper(2));
     step(&mut holder, &mut table, 0);
@@ -48,14 +49,14 @@
     }
     step(&mut contender, &mut table, 16_000);
     assert_eq!(contender.fencing(16_000), Some(2));
-    // The old holder, woken, does not believe its lease, and finds it taken.
+    // After a pause, the old holder detects that its lease has expired and then finds it taken.
     assert_eq!(holder.fencing(16_000), None);
     step(&mut holder, &mut table, 16_000);
     assert_eq!(holder.fencing(16_000), None);
 }
 
 #[test]
-fn each_renewal_makes_the_contender_wait_anew() {
+fn each_renewal_restarts_the_contenders_wait() {
     let mut table = None;
     let (mut holder, mut contender) = (keeper(1), keeper(2));
     for now_ms in (0..60_000).step_by(500) {
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_lapsed_lease_is_taken_anew_under_a_new_number() {
+fn an_expired_lease_is_reacquired_under_a_new_fencing_number() {
     let mut table = None;
     let mut holder = keeper(1);
     step(&mut holder, &mut table, 0);
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_lease_given_back_is_free_at_once() {
+fn a_released_lease_is_free_at_once() {
     let mut table = None;
     let (mut holder, mut contender) = (keeper(1), keeper(2));
     step(&mut holder, &mut table, 0);
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn another_run_of_the_same_router_does_not_inherit_the_lease() {
+fn another_incarnation_of_the_same_router_does_not_inherit_the_lease() {
     let mut table = None;
     let mut holder = keeper(1);
     step(&mut holder, &mut table, 0);
@@ -100,11 +101,11 @@
     assert_eq!(restarted.fencing(11_100), Some(2));
 }
 
-/// An engine of either kind, with the history of what it took.
+/// A simulated engine and the orders that it accepted, with their times.
 struct Engine {
     check: FencingCheck,
     state: EngineState,
-    taken: Vec<(u64, EngineOrder)>,
+    accepted: Vec<(u64, EngineOrder)>,
 }
 
 impl Engine {
@@ -112,33 +113,34 @@
         Self {
             check,
             state: EngineState::default(),
-            taken: Vec::new(),
+            accepted: Vec::new(),
         }
     }
 
-    fn arrive(&mut self, order: &EngineOrder, now_ms: u64) {
-        let highest = self.taken.iter().map(|(_, order)| order.fencing).max();
+    fn receive(&mut self, order: &EngineOrder, now_ms: u64) {
+        let highest = self.accepted.iter().map(|(_, order)| order.fencing).max();
         if self.check == FencingCheck::Checks && Some(order.fencing) < highest {
             return;
         }
         if let Some(version) = &order.goal.version {
             self.state.version.clone_from(version);
         }
-        self.taken.push((now_ms, order.clone()));
+        self.accepted.push((now_ms, order.clone()));
     }
 }
 
-/// One router of the run: it may stand still between its check and its order.
+/// A simulated router, which may pause between checking its lease and sending the order.
 struct Router {
     keeper: LeaseKeeper,
-    taken_ms: u64,
+    acquired_ms: u64,
     fencing: u64,
-    wakes_ms: u64,
-    checked: Option<EngineOrder>,
+    resumes_ms: u64,
+    pending_order: Option<EngineOrder>,
 }
 
-/// A run of three routers over a lease and one engine, with pauses, lost replies and late orders.
-fn run(seed: u64, check: FencingCheck) -> (Vec<LeaseRow>, Engine) {
+/// Simulates three routers that compete for the lease of one engine, with pauses, lost replies and
+/// delayed orders. Returns the written lease rows and the engine.
+fn simulate(seed: u64, check: FencingCheck) -> (Vec<LeaseRow>, Engine) {
     const STEP_MS: u64 = 100;
     const END_MS: u64 = 600_000;
     let mut draws = 0_u64;
@@ -149,54 +151,54 @@
     let mut table: Option<LeaseRow> = None;
     let mut rows = Vec::new();
     let mut engine = Engine::new(check);
-    let mut late: Vec<(u64, EngineOrder)> = Vec::new();
+    let mut in_transit: Vec<(u64, EngineOrder)> = Vec::new();
     let mut weights = WeightBudget::new(1, 1_000, 0);
     let mut routers: Vec<Router> = (1..=3)
         .map(|id| Router {
             keeper: keeper(id),
-            taken_ms: 0,
+            acquired_ms: 0,
             fencing: 0,
-            wakes_ms: 0,
-            checked: None,
+            resumes_ms: 0,
+            pending_order: None,
         })
         .collect();
     for now_ms in (0..END_MS).step_by(STEP_MS as usize) {
-        // The goal changes every ten seconds, and no more in the last minute.
+        // The goal changes every ten seconds, except in the last minute.
         let version = now_ms.min(END_MS - 60_000) / 10_000;
         let goal = EngineGoal {
             version: Some(version.to_string()),
             ..EngineGoal::default()
         };
-        late.retain(|(arrives_ms, order)| {
-            let here = *arrives_ms <= now_ms;
-            if here {
-                engine.arrive(order, now_ms);
+        in_transit.retain(|(arrives_ms, order)| {
+            let has_arrived = *arrives_ms <= now_ms;
+            if has_arrived {
+                engine.receive(order, now_ms);
             }
-            !here
+            !has_arrived
         });
-        let calm = now_ms > END_MS - 60_000;
+        let is_fault_free = now_ms > END_MS - 60_000;
         for router in &mut routers {
-            if now_ms < router.wakes_ms {
+            if now_ms < router.resumes_ms {
                 continue;
             }
-            if let Some(order) = router.checked.take() {
+            if let Some(order) = router.pending_order.take() {
                 let delay_ms = draw(MAX_ORDER_DELAY_MS / 2);
-                late.push((now_ms + delay_ms, order));
+                in_transit.push((now_ms + delay_ms, order));
             }
             if router.keeper.is_due(now_ms) {
                 let seen = table;
                 if let LeaseStep::Write(row) =
                     router.keeper.decide(seen.as_ref(), draw(u64::MAX), now_ms)
                 {
-                    // Nobody wrote in between, as the table's condition makes sure.
+                    // No router wrote in between; the condition of the write ensures this.
                     table = Some(row);
                     rows.push(row);
-                    let reply_lost = !calm && draw(4) == 0;
+                    let reply_lost = !is_fault_free && draw(4) == 0;
                     if !reply_lost {
                         router.keeper.note_written(&row, now_ms);
                         if router.fencing != row.fencing {
                             router.fencing = row.fencing;
-                            router.taken_ms = now_ms;
+                            router.acquired_ms = now_ms;
                         }
                     }
                 }
@@ -204,13 +206,13 @@
             let Some(fencing) = router.keeper.fencing(now_ms) else {
                 continue;
             };
-            if now_ms < first_order_ms(check, &TERMS, router.taken_ms) {
+            if now_ms < first_order_ms(check, &TERMS, router.acquired_ms) {
                 continue;
             }
-            router.checked = next_order(&goal, &engine.state, fencing, &mut weights, now_ms);
-            // A pause just between the check and the order, longer than the lease.
-            if !calm && draw(200) == 0 {
-                router.wakes_ms = now_ms + 2_000 + draw(28_000);
+            router.pending_order = next_order(&goal, &engine.state, fencing, &mut weights, now_ms);
+            // A pause between the check and the order, which may be longer than the lease.
+            if !is_fault_free && draw(200) == 0 {
+                router.resumes_ms = now_ms + 2_000 + draw(28_000);
             }
         }
     }
@@ -218,21 +220,21 @@
 }
 
 #[test]
-fn fencing_numbers_only_rise_and_no_two_holders_interleave_at_a_checking_engine() {
+fn fencing_numbers_increase_and_a_checking_engine_accepts_no_stale_orders() {
     for seed in 0..40 {
-        let (rows, engine) = run(seed, FencingCheck::Checks);
+        let (rows, engine) = simulate(seed, FencingCheck::Checks);
         let holders: Vec<(u64, RouterId)> =
             rows.iter().map(|row| (row.fencing, row.holder)).collect();
         assert!(
             holders.last().is_some_and(|last| last.0 > 3),
-            "holders changed, seed {seed}"
+            "the holder changed too rarely, seed {seed}"
         );
         for pair in holders.windows(2) {
-            let rises = pair[0].0 < pair[1].0;
-            assert!(rises || pair[0] == pair[1], "seed {seed}: {pair:?}");
+            let is_higher = pair[0].0 < pair[1].0;
+            assert!(is_higher || pair[0] == pair[1], "seed {seed}: {pair:?}");
         }
         let numbers: Vec<u64> = engine
-            .taken
+            .accepted
             .iter()
             .map(|(_, order)| order.fencing)
             .collect();
@@ -242,27 +244,28 @@
 }
 
 #[test]
-fn an_ignoring_engine_is_brought_back_after_a_late_order() {
-    let mut interleaved = 0;
+fn an_engine_that_ignores_fencing_is_corrected_after_a_stale_order() {
+    let mut stale_orders = 0;
     for seed in 0..40 {
-        let (_, engine) = run(seed, FencingCheck::Ignores);
+        let (_, engine) = simulate(seed, FencingCheck::Ignores);
         let numbers: Vec<u64> = engine
-            .taken
+            .accepted
             .iter()
             .map(|(_, order)| order.fencing)
             .collect();
-        for (index, (at_ms, order)) in engine.taken.iter().enumerate() {
+        for (index, (at_ms, order)) in engine.accepted.iter().enumerate() {
             let newest = numbers[..index].iter().copied().max().unwrap_or(0);
             if order.fencing >= newest {
                 continue;
             }
-            // What stays possible: a pause between check and order. It shows, and is corrected.
-            interleaved += 1;
-            let next = engine.taken[index + 1..]
+            // A pause between check and order can still cause a stale order. It is detected and
+            // corrected.
+            stale_orders += 1;
+            let next = engine.accepted[index + 1..]
                 .iter()
                 .find(|(_, next)| next.fencing >= newest);
             let Some((corrected_ms, _)) = next else {
-                // Nothing to correct: the late order said what was wanted anyway.
+                // Nothing to correct, because the stale order matched the goal.
                 assert_eq!(order.goal.version.as_deref(), Some("54"), "seed {seed}");
                 continue;
             };
@@ -275,11 +278,11 @@
         }
         assert_eq!(engine.state.version, "54", "seed {seed}");
     }
-    assert!(interleaved > 0, "the runs meet the case");
+    assert!(stale_orders > 0, "no run had a stale order");
 }
 
 #[test]
-fn an_order_is_given_only_where_the_engine_differs_and_is_idle() {
+fn an_order_is_sent_only_if_the_engine_differs_from_the_goal_and_is_idle() {
     let goal = EngineGoal {
         model: Some(String::from("assistant-2")),
         ..EngineGoal::default()
@@ -294,14 +297,14 @@
     assert_eq!((order.fencing, &order.goal), (7, &goal));
     assert!(
         next_order(&goal, &state, 7, &mut weights, 51_000).is_none(),
-        "one fetch a second"
+        "one load per second"
     );
     state.loading = true;
     assert!(next_order(&goal, &state, 7, &mut weights, 59_000).is_none());
     state.loading = false;
     state.model = String::from("assistant-2");
     assert!(next_order(&goal, &state, 7, &mut weights, 59_000).is_none());
-    // A stop needs no weights and waits for none.
+    // A stop loads no weights and is not subject to their budget.
     let stop = EngineGoal {
         stopped: true,
         ..goal
@@ -311,10 +314,13 @@
 }
 
 #[test]
-fn the_weight_store_serves_a_burst_and_then_its_rate() {
+fn the_weight_budget_allows_a_burst_and_then_its_rate() {
     let mut weights = WeightBudget::new(1_000, 2, 0);
-    let served = (0..=100)
+    let allowed = (0..=100)
         .filter(|tick| weights.take(60_000 + tick * 100))
         .count();
-    assert_eq!(served, 12, "two at once, then one a second for ten seconds");
+    assert_eq!(
+        allowed, 12,
+        "two at once, then one per second for ten seconds"
+    );
 }
--- a/crates/sapphiretrack-core/tests/peer_roster.rs
+++ b/crates/sapphiretrack-core/tests/peer_roster.rs
@@ -1,4 +1,5 @@
-//! The merged view of routers: restarts, replays, one-way cuts, flapping, the list.
+//! The merged view of routers: restarts, replayed heartbeats, one-way partitions, flapping and the
+//! platform's list.
 
 use sapphiretrack_core::{
     Damping, EntryCandidate, Hearing, HeartbeatTaken, PauseWatch, PeerHeartbeat, PeerRoster,
@@ -55,14 +56,14 @@
     }
 }
 
-/// `name` is seen and answers at a time.
-fn alive(roster: &mut PeerRoster, name: &str, sequence: u64, now_ms: u64) {
+/// Receives a heartbeat from `name` and an answer to one at `now_ms`.
+fn exchange_heartbeats(roster: &mut PeerRoster, name: &str, sequence: u64, now_ms: u64) {
     roster.take_heartbeat(&heartbeat(name, 1, sequence), now_ms);
     roster.note_answer(id(name), 1, now_ms);
 }
 
 #[test]
-fn a_replayed_heartbeat_brings_no_dead_or_leaving_router_back() {
+fn a_replayed_heartbeat_does_not_revive_a_lost_or_leaving_router() {
     let mut roster = roster();
     let first = heartbeat("a", 5, 1);
     assert!(matches!(
@@ -83,7 +84,7 @@
         );
     }
     assert!(roster.get(id("a")).is_none());
-    // The same incarnation may come back to finish its requests, but never as live.
+    // The same incarnation may reappear to finish its requests, but never as live.
     roster.take_heartbeat(&heartbeat("a", 5, 3), 3_100);
     assert_eq!(
         roster.get(id("a")).map(|peer| peer.state()),
@@ -97,14 +98,14 @@
 }
 
 #[test]
-fn leaving_by_the_list_holds_though_the_router_and_a_later_list_say_live() {
+fn leaving_in_the_list_is_final_even_if_the_router_and_a_later_list_say_live() {
     let mut roster = roster();
-    alive(&mut roster, "a", 1, 0);
+    exchange_heartbeats(&mut roster, "a", 1, 0);
     roster.take_list(&[record("a", VmState::Live)], 0);
     let changes = roster.take_list(&[record("a", VmState::Leaving)], 100);
     assert_eq!(changes, [RosterChange::Leaving(String::from("a"))]);
     roster.take_list(&[record("a", VmState::Live)], 200);
-    alive(&mut roster, "a", 2, 300);
+    exchange_heartbeats(&mut roster, "a", 2, 300);
     assert_eq!(
         roster.get(id("a")).map(|peer| peer.state()),
         Some(VmState::Leaving)
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_peer_that_is_heard_but_does_not_answer_counts_no_slots() {
+fn a_peer_that_sends_heartbeats_but_does_not_answer_is_no_steward_candidate() {
     let mut roster = roster();
     for half_second in 0..10 {
         roster.take_heartbeat(&heartbeat("a", 1, half_second + 1), half_second * 500);
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_router_that_restarts_again_and_again_is_held_back_from_stewardship() {
+fn a_router_that_restarts_repeatedly_is_held_back_from_stewardship() {
     let mut roster = roster();
     let is_candidate = |roster: &PeerRoster, now_ms| {
         roster
@@ -145,7 +146,7 @@
         let now_ms = incarnation * 1_000;
         roster.take_heartbeat(&heartbeat("a", incarnation, incarnation), now_ms);
         roster.note_answer(id("a"), 1, now_ms);
-        // One restart costs nothing beyond itself.
+        // A single restart does not exclude the router.
         assert_eq!(
             is_candidate(&roster, now_ms),
             incarnation <= 2,
@@ -163,41 +164,41 @@
 }
 
 #[test]
-fn a_starting_router_waits_for_the_listed_ones_before_it_counts_alone() {
+fn listed_routers_count_as_slot_holders_until_they_are_refused_or_time_out() {
     let mut roster = roster();
     roster.take_list(&[record("a", VmState::Live), record("b", VmState::Live)], 0);
-    let awaits = |roster: &PeerRoster, now_ms| roster.holders(now_ms).len() - 1;
-    assert_eq!(awaits(&roster, 100), 2);
+    let awaited = |roster: &PeerRoster, now_ms| roster.holders(now_ms).len() - 1;
+    assert_eq!(awaited(&roster, 100), 2);
     roster.note_refused(id("a"), 200);
-    assert_eq!(awaits(&roster, 200), 1);
-    assert_eq!(awaits(&roster, 2_500), 0);
+    assert_eq!(awaited(&roster, 200), 1);
+    assert_eq!(awaited(&roster, 2_500), 0);
 }
 
 #[test]
-fn the_profile_is_asked_for_when_it_is_not_known() {
+fn an_unknown_profile_is_requested() {
     let mut roster = roster();
-    let bare = PeerHeartbeat {
+    let without_profile = PeerHeartbeat {
         profile: None,
         ..heartbeat("a", 1, 1)
     };
     assert_eq!(
-        roster.take_heartbeat(&bare, 0),
+        roster.take_heartbeat(&without_profile, 0),
         HeartbeatTaken::NeedsProfile
     );
     roster.take_heartbeat(&heartbeat("a", 1, 2), 0);
-    let bare = PeerHeartbeat {
+    let without_profile = PeerHeartbeat {
         sequence: 3,
-        ..bare
+        ..without_profile
     };
     assert_eq!(
-        roster.take_heartbeat(&bare, 0),
+        roster.take_heartbeat(&without_profile, 0),
         HeartbeatTaken::Taken { change: None }
     );
-    // Another run may have moved.
+    // Another incarnation may have other addresses.
     let restarted = PeerHeartbeat {
         incarnation: 2,
         sequence: 4,
-        ..bare
+        ..without_profile
     };
     assert_eq!(
         roster.take_heartbeat(&restarted, 0),
@@ -206,24 +207,24 @@
 }
 
 #[test]
-fn routers_that_joined_by_different_ones_are_introduced_until_heard_or_refused() {
+fn introduced_routers_are_contacted_until_they_are_heard_or_refused() {
     let mut roster = roster();
     let address = "127.0.0.1:9001".parse().expect("an address");
     roster.introduce(&[(id("a"), address), (id("b"), address), (id("me"), address)]);
     assert_eq!(roster.targets().into_keys().count(), 2);
     roster.note_refused(id("b"), 0);
     assert_eq!(roster.targets(), [(id("a"), address)].into());
-    alive(&mut roster, "a", 1, 0);
+    exchange_heartbeats(&mut roster, "a", 1, 0);
     roster.introduce(&[(id("a"), address)]);
     assert_eq!(
         roster.targets()[&id("a")],
         profile("a").peer_address,
-        "its own word counts"
+        "its own profile takes precedence"
     );
 }
 
 #[test]
-fn a_list_without_routers_makes_nobody_the_only_router() {
+fn an_empty_list_makes_no_router_the_only_one() {
     let mut roster = roster();
     roster.take_list(&[record("a", VmState::Live)], 0);
     roster.take_list(&[], 1_000);
@@ -232,13 +233,13 @@
 }
 
 #[test]
-fn a_woken_router_takes_its_peers_for_alive_until_their_full_time_has_passed() {
+fn after_a_pause_a_router_keeps_its_peers_for_the_full_timeout() {
     let mut watch = PauseWatch::default();
     assert_eq!(watch.turn(0), None);
     assert_eq!(watch.turn(100), None);
     assert_eq!(watch.turn(30_100), Some(30_000));
     let mut roster = roster();
-    alive(&mut roster, "a", 1, 100);
+    exchange_heartbeats(&mut roster, "a", 1, 100);
     roster.forgive_silence(30_100);
     assert_eq!(roster.tick(30_100), []);
     assert_eq!(roster.holders(30_100).len(), 2);
@@ -246,7 +247,7 @@
 }
 
 #[test]
-fn isolation_needs_the_loss_of_platform_and_peers_and_the_only_router_never_is() {
+fn a_router_is_isolated_without_platform_and_peers_unless_it_is_the_only_one() {
     let hearing = Hearing {
         expects_others: true,
         peer_seen_ms: 1_000,
@@ -262,7 +263,7 @@
 }
 
 #[test]
-fn lookups_are_spread_near_and_without_leaving_routers() {
+fn lookups_are_spread_over_live_routers_of_the_same_zone() {
     let names: Vec<String> = (0..9).map(|index| format!("router-{index}")).collect();
     let zones = ["zone-0", "zone-1", "zone-2"];
     let candidates: Vec<EntryCandidate<'_>> = names
@@ -299,7 +300,7 @@
 }
 
 #[test]
-fn where_all_routers_leave_those_that_have_not_resigned_go_on_counting() {
+fn if_all_routers_are_leaving_those_that_have_not_resigned_stay_candidates() {
     let mut roster = roster();
     for (name, has_resigned) in [("a", false), ("b", true)] {
         let leaving = PeerHeartbeat {
--- a/crates/sapphiretrack-core/tests/server_roster.rs
+++ b/crates/sapphiretrack-core/tests/server_roster.rs
@@ -1,4 +1,4 @@
-//! The merged view of backend servers: lists that lag and flap, reports, refusals.
+//! The merged view of backend servers: delayed and flapping lists, load reports and refusals.
 
 use sapphiretrack_core::{
     LoadReport, PoolKind, RosterChange, ServerId, ServerRoster, ServerSighting,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_list_that_flaps_or_lags_drops_no_server_that_answers() {
+fn a_flapping_or_delayed_list_removes_no_server_that_reports() {
     let mut roster = roster();
     for second in 1..100 {
         let now_ms = second * 1_000;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_server_gone_from_the_list_and_silent_is_dropped_after_the_grace() {
+fn a_server_that_is_unlisted_and_does_not_report_is_removed_after_the_grace_period() {
     let mut roster = roster();
     for now_ms in (250..5_000).step_by(250) {
         roster.take_list(&list(&["b"]), now_ms);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_server_gone_from_the_list_for_long_is_dropped_though_something_answers() {
+fn a_server_that_is_unlisted_for_long_is_removed_even_if_something_reports() {
     let mut roster = roster();
     for second in 1..=61 {
         roster.take_list(&list(&["b"]), second * 1_000);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn leaving_outranks_live_for_an_incarnation_whichever_signal_came_first() {
+fn leaving_is_final_for_an_incarnation_whichever_signal_reported_it() {
     type Signal = fn(&mut ServerRoster, u64);
     let signals: [(&str, Signal); 4] = [
         ("list", |roster, now_ms| {
@@ -131,7 +131,8 @@
             "{name}"
         );
         assert_eq!(roster.new_marks(1_000), [(id("a"), 1)], "{name}");
-        // All others go on saying live: the lagging list, reports, a peer that knows no better.
+        // All other signals still say live: the delayed list, the reports and a peer without the
+        // mark.
         for now_ms in (1_250..20_000).step_by(250) {
             roster.take_list(&list(&["a", "b"]), now_ms);
             roster.take_report(id("a"), Some(report(1)), now_ms);
@@ -148,10 +149,10 @@
                 "{name}"
             );
         }
-        // A restart under the same name is another incarnation and takes work again.
+        // A restart under the same name is another incarnation and accepts work again.
         roster.take_report(id("a"), Some(report(2)), 20_000);
         assert_eq!(roster.state(id("a"), 20_000), Some(VmState::Live), "{name}");
-        // A late word of the old incarnation does not bring it back.
+        // A late message about the old incarnation does not mark the new one as leaving.
         let late = ServerSighting {
             server: id("a"),
             state: VmState::Leaving,
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn a_list_that_says_leaving_before_the_first_report_marks_the_incarnation_that_reports() {
+fn leaving_in_the_list_before_the_first_report_marks_the_incarnation_that_then_reports() {
     let mut roster = ServerRoster::default();
     roster.take_list(&[record("a", VmState::Leaving)], 0);
     roster.take_report(id("a"), Some(report(7)), 100);
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_leaving_mark_that_comes_before_the_list_is_kept() {
+fn a_leaving_mark_received_before_the_list_is_kept() {
     let mut roster = ServerRoster::default();
     roster.note_leaving(id("a"), 1, 0);
     roster.take_list(&list(&["a"]), 100);
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn a_flapping_engine_is_held_back_longer_each_time_and_a_single_failure_costs_nothing_more() {
+fn a_flapping_engine_is_held_back_longer_each_time_but_not_after_a_single_failure() {
     let mut roster = roster();
     let mut now_ms = 0;
     let mut held_ms = Vec::new();
@@ -206,9 +207,10 @@
     assert_eq!(held_ms, [0, 2_000, 4_000, 8_000, 16_000]);
 }
 
-/// A router that was just told of a server sends to it before it has seen the incarnation.
+/// A router that has just learned of a server may send requests to it before it knows the server's
+/// incarnation.
 #[test]
-fn a_refusal_met_before_the_first_report_holds_for_the_incarnation_that_is_then_reported() {
+fn a_refusal_before_the_first_report_applies_to_the_incarnation_that_then_reports() {
     let before_any_report = |listed_first: bool| {
         let mut roster = ServerRoster::default();
         if listed_first {
@@ -224,14 +226,14 @@
         roster.take_report(id("a"), Some(report(7)), 3);
         assert_eq!(roster.state(id("a"), 3), Some(VmState::Leaving));
         assert_eq!(roster.new_marks(3), [(id("a"), 7)]);
-        // The next incarnation takes work again.
+        // The next incarnation accepts work again.
         roster.take_report(id("a"), Some(report(8)), 4);
         assert_eq!(roster.state(id("a"), 4), Some(VmState::Live));
     }
 }
 
 #[test]
-fn a_refusal_of_an_unknown_incarnation_counts_for_the_one_that_was_reported_meanwhile() {
+fn a_refusal_by_an_unknown_incarnation_applies_to_the_one_reported_meanwhile() {
     let mut roster = roster();
     let change = roster.note_leaving(id("a"), UNKNOWN_INCARNATION, 1);
     assert_eq!(change, Some(RosterChange::Leaving(String::from("a"))));
--- a/crates/sapphiretrack-core/tests/steward_changes.rs
+++ b/crates/sapphiretrack-core/tests/steward_changes.rs
@@ -1,4 +1,4 @@
-//! Stewards that die, restart or resign: when the next one starts.
+//! Changes of a steward after a crash, a restart or a resignation: when the next one may grant.
 
 mod common;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_successor_of_a_run_that_ended_is_named_at_once_and_consent_to_it_binds_again() {
+fn the_successor_of_a_steward_that_ended_gets_consent_at_once_and_for_the_usual_time() {
     let mut names = StewardNames::new(ConsentSettings::default());
     let (first, second) = (RouterId(1), RouterId(2));
     names.want(SERVER, first, true, 0);
@@ -31,11 +31,15 @@
     assert_eq!(names.consent(SERVER), Some(second));
     names.note_sent(second, 1_003);
     names.want(SERVER, first, true, 1_004);
-    assert_eq!(names.consent(SERVER), None, "the successor goes on");
+    assert_eq!(
+        names.consent(SERVER),
+        None,
+        "the consent to the successor is still valid"
+    );
 }
 
 #[test]
-fn a_ledger_that_has_no_view_yet_grants_nothing() {
+fn a_ledger_without_a_view_grants_nothing() {
     let mut ledger = Ledger::new(RouterId(1), LedgerSettings::default());
     ledger.reconcile(RouterId(2), &listing(&[], 0), 0);
     assert_eq!(reserve(&mut ledger, RouterId(2), 1, 0), Grant::NotSteward);
@@ -52,7 +56,7 @@
     assert_eq!(
         reserve(&mut ledger, routers[0], 1, 100),
         Grant::NotSteward,
-        "what the ended router's requests take is not known yet"
+        "the number of the ended router's requests is not known yet"
     );
     ledger.note_report(SERVER, 1, 101);
     assert_eq!(reserve(&mut ledger, routers[0], 1, 102), Grant::Granted);
@@ -60,7 +64,7 @@
 }
 
 #[test]
-fn a_new_steward_waits_the_grace_time_for_a_silent_holder() {
+fn a_new_steward_waits_the_grace_period_for_a_silent_holder() {
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
     let live = [routers[0], routers[2]];
     let settings = LedgerSettings::default();
@@ -78,22 +82,22 @@
 }
 
 #[test]
-fn killed_routers_stop_counting_among_those_of_whom_most_consent_once_they_are_not_listed() {
+fn killed_routers_leave_the_electorate_once_they_are_not_listed() {
     let routers: Vec<RouterId> = (1..=5).map(RouterId).collect();
     let (live, ended) = routers.split_at(2);
     let settings = LedgerSettings::default();
-    let run_out_ms = settings.consent.handover_ms();
+    let expiry_ms = settings.consent.handover_ms();
     let mut ledger = Ledger::new(routers[0], settings);
     ledger.set_view(&view(&routers, &routers, &[]), 0);
-    for (now_ms, sees_cell) in [(0, false), (run_out_ms - 1, false), (run_out_ms, true)] {
+    for (now_ms, sees_cell) in [(0, false), (expiry_ms - 1, false), (expiry_ms, true)] {
         ledger.set_view(&view(live, live, ended), now_ms);
         assert_eq!(ledger.sees_cell(), sees_cell, "not listed, at {now_ms}");
     }
-    // A listed one may start anew behind a split, and consent to another steward there.
+    // A listed router may restart behind a partition and consent to another steward there.
     let mut ledger = Ledger::new(routers[0], settings);
     for (now_ms, sees_cell) in [
         (0, false),
-        (run_out_ms, false),
+        (expiry_ms, false),
         (settings.electorate_ms, true),
     ] {
         ledger.set_view(&view(live, &routers, ended), now_ms);
@@ -102,30 +106,33 @@
 }
 
 #[test]
-fn the_slots_of_a_lost_router_that_is_listed_no_longer_are_given_back() {
+fn the_slots_of_a_lost_router_that_is_no_longer_listed_are_released() {
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
-    let left = [routers[0], routers[2]];
+    let remaining = [routers[0], routers[2]];
     let settings = LedgerSettings::default();
     let mut ledger = Ledger::new(routers[0], settings);
     ledger.set_view(&view(&routers, &routers, &[]), 0);
     ledger.reconcile(routers[1], &listing(&[1, 2], 3), 0);
     ledger.reconcile(routers[2], &listing(&[], 0), 0);
-    ledger.set_view(&view(&left, &left, &[]), 1_000);
+    ledger.set_view(&view(&remaining, &remaining, &[]), 1_000);
     assert_eq!(ledger.held(SERVER), Some(2));
     let after_ms = 1_000 + settings.electorate_ms;
     ledger.reconcile(routers[2], &listing(&[], 0), after_ms);
-    ledger.set_view(&view(&left, &left, &[]), after_ms);
+    ledger.set_view(&view(&remaining, &remaining, &[]), after_ms);
     assert_eq!(ledger.held(SERVER), Some(0));
 }
 
 #[test]
-fn a_refused_connection_proves_the_end_of_the_run_that_was_dialled_only() {
+fn a_refused_connection_proves_the_end_of_only_the_incarnation_that_was_dialled() {
     let mut endings = Endings::default();
     let router = RouterId(1);
-    assert!(!endings.note_refused(router, 10, 20), "restarted meanwhile");
+    assert!(
+        !endings.note_refused(router, 10, 20),
+        "it has restarted in the meantime"
+    );
     assert!(!endings.has_ended(router, 20));
     assert!(endings.note_refused(router, 20, 20));
-    assert!(!endings.note_refused(router, 20, 20), "it is no news");
+    assert!(!endings.note_refused(router, 20, 20), "it is already known");
     assert!(endings.has_ended(router, 20));
     assert!(!endings.has_ended(router, 30));
     endings.note_seen(router, 30);
@@ -133,31 +140,37 @@
 }
 
 #[test]
-fn refusals_for_a_run_that_was_heard_after_one_prove_nothing() {
+fn refusals_prove_nothing_for_an_incarnation_that_was_seen_after_one() {
     let mut endings = Endings::default();
     let router = RouterId(1);
     assert!(endings.note_refused(router, 20, 20));
     endings.note_seen(router, 20);
     assert!(!endings.has_ended(router, 20));
-    assert!(!endings.note_refused(router, 20, 20), "it was wrong before");
+    assert!(
+        !endings.note_refused(router, 20, 20),
+        "an earlier refusal was wrong"
+    );
     endings.note_seen(router, 30);
-    assert!(endings.note_refused(router, 30, 30), "a later run");
+    assert!(endings.note_refused(router, 30, 30), "a later incarnation");
 }
 
 #[test]
-fn a_leaving_router_resigns_when_all_its_successors_know_that_it_leaves() {
+fn a_leaving_router_resigns_when_all_its_successors_know_that_it_is_leaving() {
     let (first, second) = (RouterId(1), RouterId(2));
     let mut resignation = Resignation::default();
     resignation.note_seen(first, 9);
     assert!(!resignation.settle(&[first]), "it is not leaving");
     resignation.note_leaving(10);
     resignation.note_leaving(11);
-    assert!(!resignation.settle(&[first]), "it was seen before");
+    assert!(
+        !resignation.settle(&[first]),
+        "the peer saw only an earlier heartbeat"
+    );
     resignation.note_seen(first, 10);
     assert!(!resignation.settle(&[]), "there is no successor");
     assert!(!resignation.settle(&[first, second]));
     resignation.note_seen(second, 11);
     assert!(resignation.settle(&[first, second]));
-    assert!(!resignation.settle(&[first, second]), "it is no news");
+    assert!(!resignation.settle(&[first, second]), "it is already known");
     assert!(resignation.has_resigned());
 }
--- a/crates/sapphiretrack-core/tests/steward_faults.rs
+++ b/crates/sapphiretrack-core/tests/steward_faults.rs
@@ -1,4 +1,4 @@
-//! The bound holds though stewards die, restart, resign and lose each other.
+//! The bound holds although stewards crash, restart, resign and lose contact with each other.
 
 mod common;
 
@@ -11,14 +11,15 @@
 
 const ROUTERS: usize = 5;
 const STEP_MS: u64 = 100;
-/// A peer that is silent for so long counts as lost.
+/// A peer that sends no heartbeat for this time counts as lost.
 const SILENT_MS: u64 = 2_500;
-/// A restarted router may consent anew when its earlier consent has run out.
+/// How long a crashed router stays down: after this time, its earlier consent has expired and it
+/// may consent again.
 const DOWN_STEPS: usize = 36;
 
 /// One router of the property test.
 struct Node {
-    run: u64,
+    incarnation: u64,
     down_steps: usize,
     names: StewardNames,
     ledger: Ledger,
@@ -26,13 +27,13 @@
     has_resigned: bool,
     held: Vec<u32>,
     seen_ms: [Option<u64>; ROUTERS],
-    known_run: [u64; ROUTERS],
+    known_incarnation: [u64; ROUTERS],
 }
 
 impl Node {
-    fn new(index: usize, run: u64) -> Self {
+    fn new(index: usize, incarnation: u64) -> Self {
         Self {
-            run,
+            incarnation,
             down_steps: 0,
             names: StewardNames::new(ConsentSettings::default()),
             ledger: Ledger::new(RouterId(index as u64), LedgerSettings::default()),
@@ -40,7 +41,7 @@
             has_resigned: false,
             held: Vec::new(),
             seen_ms: [None; ROUTERS],
-            known_run: [0; ROUTERS],
+            known_incarnation: [0; ROUTERS],
         }
     }
 
@@ -48,70 +49,73 @@
         self.down_steps == 0
     }
 
-    /// A connection to a router was refused, begun when this run of it was the newest known.
-    fn refused(&mut self, whom: usize, dialled: u64) {
-        let router = RouterId(whom as u64);
-        let newest = self.known_run[whom];
+    /// Handles a refused connection to a router; `dialled` is the latest incarnation known when the
+    /// connection attempt started.
+    fn handle_refusal(&mut self, peer: usize, dialled: u64) {
+        let router = RouterId(peer as u64);
+        let newest = self.known_incarnation[peer];
         if self.endings.note_refused(router, dialled, newest) {
             self.names.release(router);
-            self.seen_ms[whom] = None;
+            self.seen_ms[peer] = None;
         }
     }
 }
 
-/// What happens to one router in a step.
+/// An event that affects a router in a step.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum Event {
     Nothing,
+    /// Its view now makes this router the steward.
     Wants(usize),
+    /// Its link to this router is cut, or restored.
     Cut(usize),
-    /// The routers of the mask, and the others, see only each other; mask 0 heals everything.
-    Splits(usize),
+    /// The routers in the mask are partitioned from the others; mask 0 restores all links.
+    Partition(usize),
     Dies,
     Resigns,
-    /// A refusal arrives that was met by a connection to the run before.
+    /// A refusal arrives late, of a connection to the previous incarnation.
     LateRefusal(usize),
 }
 
-fn happening() -> impl Strategy<Value = (usize, Happening)> {
-    let what = prop_oneof![
-        24 => Just(Happening::Nothing),
-        8 => (0..ROUTERS).prop_map(Happening::Wants),
-        2 => (0..ROUTERS).prop_map(Happening::Cut),
-        1 => (0..1_usize << ROUTERS).prop_map(Happening::Splits),
-        2 => Just(Happening::Dies),
-        1 => Just(Happening::Resigns),
-        1 => (0..ROUTERS).prop_map(Happening::LateRefusal),
+fn any_event() -> impl Strategy<Value = (usize, Event)> {
+    let event = prop_oneof![
+        24 => Just(Event::Nothing),
+        8 => (0..ROUTERS).prop_map(Event::Wants),
+        2 => (0..ROUTERS).prop_map(Event::Cut),
+        1 => (0..1_usize << ROUTERS).prop_map(Event::Partition),
+        2 => Just(Event::Dies),
+        1 => Just(Event::Resigns),
+        1 => (0..ROUTERS).prop_map(Event::LateRefusal),
     ];
-    (0..ROUTERS, what)
+    (0..ROUTERS, event)
 }
 
-/// All routers and the server.
-struct World {
+/// The simulated routers and the server.
+struct Simulation {
     now_ms: u64,
     nodes: Vec<Node>,
     wanted: [usize; ROUTERS],
     is_cut: [[bool; ROUTERS]; ROUTERS],
-    /// Requests of routers that died, with when they end.
-    orphans: Vec<u64>,
-    next: u32,
+    /// End times of the requests of crashed routers.
+    orphaned: Vec<u64>,
+    last_reservation: u32,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             now_ms: 0,
             nodes: (0..ROUTERS).map(|index| Node::new(index, 1)).collect(),
             wanted: [0; ROUTERS],
             is_cut: [[false; ROUTERS]; ROUTERS],
-            orphans: Vec::new(),
-            next: 0,
+            orphaned: Vec::new(),
+            last_reservation: 0,
         }
     }
 
     fn running(&self) -> usize {
         let held: usize = self.nodes.iter().map(|node| node.held.len()).sum();
-        held + self.orphans.len()
+        held + self.orphaned.len()
     }
 
     fn is_linked(&self, from: usize, to: usize) -> bool {
@@ -119,15 +123,15 @@
         from != to && self.nodes[from].is_up() && !is_cut
     }
 
-    fn happen(&mut self, who: usize, what: Happening) {
+    fn apply(&mut self, index: usize, event: Event) {
         let now_ms = self.now_ms;
         let down = self.nodes.iter().filter(|node| !node.is_up()).count();
-        let node = &mut self.nodes[who];
-        match what {
-            Happening::Nothing => {}
-            Happening::Wants(whom) => self.wanted[who] = whom,
-            Happening::Cut(whom) => self.is_cut[who][whom] ^= true,
-            Happening::Splits(mask) => {
+        let node = &mut self.nodes[index];
+        match event {
+            Event::Nothing => {}
+            Event::Wants(steward) => self.wanted[index] = steward,
+            Event::Cut(peer) => self.is_cut[index][peer] ^= true,
+            Event::Partition(mask) => {
                 let side = |router: usize| mask >> router & 1;
                 for (from, cuts) in self.is_cut.iter_mut().enumerate() {
                     for (to, is_cut) in cuts.iter_mut().enumerate() {
@@ -135,21 +139,22 @@
                     }
                 }
             }
-            Happening::Dies if down < 2 && node.is_up() => {
-                let orphans = std::mem::take(&mut node.held).into_iter();
-                self.orphans.extend(orphans.map(|_| now_ms + 2_000));
-                *node = Node::new(who, node.run + 1);
+            Event::Dies if down < 2 && node.is_up() => {
+                let orphaned = std::mem::take(&mut node.held).into_iter();
+                self.orphaned.extend(orphaned.map(|_| now_ms + 2_000));
+                *node = Node::new(index, node.incarnation + 1);
                 node.down_steps = DOWN_STEPS;
             }
-            Happening::Resigns => node.has_resigned = node.is_up(),
-            Happening::LateRefusal(whom) => {
-                node.refused(whom, node.known_run[whom].saturating_sub(1));
+            Event::Resigns => node.has_resigned = node.is_up(),
+            Event::LateRefusal(peer) => {
+                node.handle_refusal(peer, node.known_incarnation[peer].saturating_sub(1));
             }
-            Happening::Dies => {}
+            Event::Dies => {}
         }
     }
 
-    /// Connections to routers that are down are refused; some are tried in this step.
+    /// Attempts the connections given by the bits of `tried`; those to routers that are down are
+    /// refused.
     fn dial(&mut self, tried: u32) {
         for from in 0..ROUTERS {
             for to in 0..ROUTERS {
@@ -159,13 +164,13 @@
                     continue;
                 }
                 let node = &mut self.nodes[from];
-                node.refused(to, node.known_run[to]);
+                node.handle_refusal(to, node.known_incarnation[to]);
             }
         }
     }
 
-    /// Each router takes in its view, as the daemon does at each turn.
-    fn settle(&mut self) {
+    /// Updates the view of each router, as the daemon does on each turn.
+    fn update_views(&mut self) {
         let now_ms = self.now_ms;
         let reported = self.running() as u32;
         let known: Vec<RouterId> = (0..ROUTERS as u64).map(RouterId).collect();
@@ -202,7 +207,7 @@
                 node.names.want(SERVER, wanted, may_begin, now_ms);
             }
             if is_own {
-                let own = listing(&node.held, self.next);
+                let own = listing(&node.held, self.last_reservation);
                 node.ledger.reconcile(me, &own, now_ms);
             }
         }
@@ -220,21 +225,21 @@
                 let sender = &mut self.nodes[from];
                 let consents = sender.names.consent(SERVER) == Some(target);
                 sender.names.note_sent(target, now_ms);
-                let slots = listing(&sender.held, self.next);
-                let (run, has_resigned) = (sender.run, sender.has_resigned);
-                let heard_run = sender.known_run[to];
+                let slots = listing(&sender.held, self.last_reservation);
+                let (incarnation, has_resigned) = (sender.incarnation, sender.has_resigned);
+                let addressed_incarnation = sender.known_incarnation[to];
                 if !self.is_linked(from, to) || !self.nodes[to].is_up() {
                     continue;
                 }
                 let receiver = &mut self.nodes[to];
                 receiver.seen_ms[from] = Some(now_ms);
-                receiver.endings.note_seen(router, run);
-                if has_resigned || receiver.known_run[from] != run {
+                receiver.endings.note_seen(router, incarnation);
+                if has_resigned || receiver.known_incarnation[from] != incarnation {
                     receiver.names.release(router);
                 }
-                receiver.known_run[from] = run;
-                // What was sent to an earlier run says nothing to this one.
-                if consents && heard_run == receiver.run {
+                receiver.known_incarnation[from] = incarnation;
+                // Consent sent to an earlier incarnation does not apply to this one.
+                if consents && addressed_incarnation == receiver.incarnation {
                     receiver.ledger.reconcile(router, &slots, now_ms);
                 }
             }
@@ -252,18 +257,18 @@
             if !self.nodes[asker].is_up() || !is_reached || !serves {
                 continue;
             }
-            self.next += 1;
+            self.last_reservation += 1;
             let router = RouterId(asker as u64);
             let ledger = &mut self.nodes[steward].ledger;
-            if reserve(ledger, router, self.next, self.now_ms) == Grant::Granted {
-                self.nodes[asker].held.push(self.next);
+            if reserve(ledger, router, self.last_reservation, self.now_ms) == Grant::Granted {
+                self.nodes[asker].held.push(self.last_reservation);
             }
         }
     }
 
     fn end_requests(&mut self, step: usize) {
         let now_ms = self.now_ms;
-        self.orphans.retain(|ends_ms| now_ms < *ends_ms);
+        self.orphaned.retain(|ends_ms| now_ms < *ends_ms);
         let index = step % ROUTERS;
         if step.is_multiple_of(4)
             && let Some(id) = self.nodes[index].held.pop()
@@ -279,22 +284,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Routers die, start anew, resign, lose each other and disagree: the bound holds.
+    /// The bound holds while routers crash, restart, resign, lose contact and disagree.
     #[test]
-    fn no_steward_change_overfills_a_server(
-        steps in prop::collection::vec((happening(), any::<u32>()), 60..140),
+    fn no_steward_change_exceeds_the_bound_of_a_server(
+        steps in prop::collection::vec((any_event(), any::<u32>()), 60..140),
     ) {
-        let mut world = World::new();
-        for (step, ((who, what), tried)) in steps.into_iter().enumerate() {
-            world.now_ms = step as u64 * STEP_MS;
-            world.happen(who, what);
-            world.dial(tried);
-            world.settle();
-            world.send_heartbeats();
-            world.ask_for_slots();
-            let running = world.running();
-            prop_assert!(running <= BOUND, "{running} run of {BOUND} after step {step}: {what:?} {who}");
-            world.end_requests(step);
+        let mut simulation = Simulation::new();
+        for (step, ((index, event), tried)) in steps.into_iter().enumerate() {
+            simulation.now_ms = step as u64 * STEP_MS;
+            simulation.apply(index, event);
+            simulation.dial(tried);
+            simulation.update_views();
+            simulation.send_heartbeats();
+            simulation.ask_for_slots();
+            let running = simulation.running();
+            prop_assert!(running <= BOUND, "{running} requests run, the bound is {BOUND}, after step {step}: {event:?} of router {index}");
+            simulation.end_requests(step);
         }
     }
 }
--- a/crates/sapphiretrack-core/tests/stewardship.rs
+++ b/crates/sapphiretrack-core/tests/stewardship.rs
@@ -1,4 +1,4 @@
-//! Stewards, consent and the ledger: the bound holds though routers disagree.
+//! Stewards, consent and the ledger: the bound holds although routers disagree.
 
 use proptest::prelude::*;
 use sapphiretrack_core::{
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_steward_grants_only_after_every_possible_holder_spoke() {
+fn a_new_steward_grants_only_after_every_possible_holder_has_listed_its_slots() {
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
     let mut ledger = Ledger::new(routers[0], LedgerSettings::default());
     ledger.set_view(&view(&routers, &routers), 0);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_steward_stops_granting_when_most_consents_have_lapsed() {
+fn a_steward_stops_granting_when_most_consents_have_expired() {
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
     let settings = LedgerSettings::default();
     let mut ledger = Ledger::new(routers[0], settings);
@@ -80,14 +80,14 @@
     ledger.reconcile(routers[1], &listing(&[], 0), 0);
     ledger.reconcile(routers[2], &listing(&[], 0), 0);
     assert_eq!(reserve(&mut ledger, &ask(routers[0], 1), 1), Grant::Granted);
-    let lapsed_ms = settings.consent.consent_ms;
-    ledger.set_view(&view(&[routers[0]], &routers), lapsed_ms);
-    let late = reserve(&mut ledger, &ask(routers[0], 2), lapsed_ms);
+    let expired_ms = settings.consent.consent_ms;
+    ledger.set_view(&view(&[routers[0]], &routers), expired_ms);
+    let late = reserve(&mut ledger, &ask(routers[0], 2), expired_ms);
     assert_eq!(late, Grant::NotSteward);
 }
 
 #[test]
-fn a_router_that_starts_alone_in_a_listed_cell_grants_nothing() {
+fn a_router_that_sees_none_of_its_listed_peers_grants_nothing() {
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
     let mut ledger = Ledger::new(routers[0], LedgerSettings::default());
     ledger.set_view(&view(&routers[..1], &routers), 0);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn lost_routers_slots_stay_counted_for_the_grace_time_and_reports_after_it() {
+fn slots_of_lost_routers_count_for_a_while_and_server_reports_after_that() {
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
     let settings = LedgerSettings::default();
     let mut ledger = Ledger::new(routers[0], settings);
@@ -118,7 +118,8 @@
     ledger.note_report(SERVER, 2, after_ms);
     let request = ask(routers[0], 9);
     assert_eq!(reserve(&mut ledger, &request, after_ms), Grant::Full);
-    // One report of fewer is not believed: a slot that is listed though it was refused hides one.
+    // A single lower report is not enough, because a slot that is listed but was refused hides a
+    // request.
     ledger.note_report(SERVER, 1, after_ms);
     assert_eq!(reserve(&mut ledger, &request, after_ms), Grant::Full);
     ledger.note_report(SERVER, 1, after_ms);
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn a_slot_that_is_listed_and_was_refused_hides_no_lost_routers_request() {
+fn a_listed_slot_that_was_refused_does_not_hide_a_lost_routers_request() {
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
     let mut ledger = Ledger::new(routers[0], LedgerSettings::default());
     ledger.set_view(&view(&routers, &routers), 0);
@@ -134,7 +135,7 @@
     let after_ms = 1_000 + LedgerSettings::default().dead_holder_grace_ms;
     ledger.reconcile(routers[1], &listing(&[1], 2), after_ms);
     ledger.set_view(&view(&routers[..2], &routers), after_ms);
-    // The server holds a request of the lost router beside the listed one.
+    // The server runs a request of the lost router in addition to the listed one.
     ledger.note_report(SERVER, 2, after_ms);
     ledger.reconcile(routers[1], &listing(&[1, 2], 3), after_ms);
     ledger.note_report(SERVER, 2, after_ms);
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn reconciling_survives_the_wrap_around_of_reservation_ids() {
+fn reconciling_handles_the_wrap_around_of_reservation_ids() {
     let me = RouterId(1);
     let other = RouterId(2);
     let mut ledger = Ledger::new(me, LedgerSettings::default());
@@ -154,16 +155,16 @@
         reserve(&mut ledger, &ask(other, u32::MAX), 1),
         Grant::Granted
     );
-    // The listing was sent before the grant: it does not judge the id that was drawn later.
+    // This list was sent before the grant, so it says nothing about the later id.
     ledger.reconcile(other, &listing(&[], u32::MAX), 2);
     assert_eq!(ledger.held(SERVER), Some(1));
-    // This one was sent after the ids wrapped around, and no longer lists the slot.
+    // This list was sent after the ids wrapped around, and does not contain the slot.
     ledger.reconcile(other, &listing(&[], 3), 3);
     assert_eq!(ledger.held(SERVER), Some(0));
 }
 
 #[test]
-fn a_router_names_a_new_steward_only_when_its_earlier_consent_has_run_out() {
+fn a_router_consents_to_a_new_steward_only_after_its_earlier_consent_has_expired() {
     let settings = ConsentSettings::default();
     let mut names = StewardNames::new(settings);
     let (first, second) = (RouterId(1), RouterId(2));
@@ -190,9 +191,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(4), ..ProptestConfig::default() })]
 
-    /// Whatever routers believe about who is steward, the slots held never pass the bound.
+    /// The slots held never exceed the bound, whichever router each of them considers the steward.
     #[test]
-    fn no_two_stewards_overfill_a_server(beliefs in prop::collection::vec((0_usize..5, 0_usize..5, any::<u32>()), 40..160)) {
+    fn no_two_stewards_exceed_the_bound_of_a_server(changes in prop::collection::vec((0_usize..5, 0_usize..5, any::<u32>()), 40..160)) {
         let routers: Vec<RouterId> = (1..=5).map(RouterId).collect();
         let mut nodes: Vec<Node> = routers
             .iter()
@@ -204,9 +205,9 @@
             .collect();
         let mut wanted = [0_usize; 5];
         let mut next = 0;
-        for (step, (who, whom, cuts)) in beliefs.into_iter().enumerate() {
+        for (step, (changed, steward, cuts)) in changes.into_iter().enumerate() {
             let now_ms = step as u64 * 700;
-            wanted[who] = whom;
+            wanted[changed] = steward;
             for index in 0..5 {
                 let node = &mut nodes[index];
                 node.names.want(SERVER, routers[wanted[index]], true, now_ms);
@@ -241,7 +242,7 @@
                 next += 1;
             }
             let held: usize = nodes.iter().map(|node| node.held.len()).sum();
-            prop_assert!(held <= 2, "{held} slots are held of 2 after step {step}");
+            prop_assert!(held <= 2, "{held} slots are held, the bound is 2, after step {step}");
             if step % 3 == 0 {
                 for (index, node) in nodes.iter_mut().enumerate() {
                     node.held.pop().into_iter().for_each(|id| {
--- a/crates/sapphiretrack-core/tests/stop.rs
+++ b/crates/sapphiretrack-core/tests/stop.rs
@@ -1,4 +1,4 @@
-//! When a planned stop closes.
+//! When a router closes its endpoints during a planned stop.
 
 use sapphiretrack_core::StopTiming;
 
@@ -8,14 +8,14 @@
 };
 
 #[test]
-fn the_last_lookup_of_the_last_peer_to_hear_is_outlived() {
+fn endpoints_stay_open_until_the_last_lookup_has_expired() {
     assert!(!TIMING.may_close(5_000, 5_000, 0));
     assert!(!TIMING.may_close(7_999, 7_999, 0));
     assert!(TIMING.may_close(8_000, 8_000, 0));
 }
 
 #[test]
-fn requests_that_go_on_coming_put_the_close_off_and_not_for_ever() {
+fn further_requests_delay_the_close_for_a_limited_time() {
     assert!(!TIMING.may_close(8_000, 4_999, 0));
     assert!(TIMING.may_close(9_000, 5_000, 0));
     assert!(!TIMING.may_close(17_999, 0, 0));
@@ -23,6 +23,6 @@
 }
 
 #[test]
-fn a_request_in_flight_is_waited_for_however_long() {
+fn a_request_in_flight_delays_the_close_without_limit() {
     assert!(!TIMING.may_close(1_000_000, 1_000_000, 1));
 }
