--- a/crates/sapphiretrack-core/tests/attempt.rs
+++ b/crates/sapphiretrack-core/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! The state machine of attempts against a model that knows what really ran.
+//! State machine test of the attempt log against a model that knows which attempts actually ran.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -7,94 +7,94 @@
     AttemptFailure, AttemptLog, NextStep, Outcome, RefusalCode, Repeatable, ServerId,
 };
 
-/// What the world did: the log sees only a part of it.
+/// A step of the model. The log does not see all of its effects.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The request is sent.
     Begin(u64),
-    /// A token comes, so the request runs.
+    /// A token arrives, which proves that the request runs.
     Token,
-    /// The attempt fails before it started.
-    FailBefore,
-    /// The attempt fails; whether it ran is not seen.
-    FailUnseen { ran: bool },
-    /// The request has its final answer.
-    Rest,
+    /// The attempt fails before the request ran.
+    FailBeforeRun,
+    /// The attempt fails, and the log can't tell whether the request ran.
+    FailUnknown { ran: bool },
+    /// The request already has its final answer.
+    Finished,
 }
 
 #[derive(Clone, Debug)]
-struct World {
-    once: bool,
-    sending: bool,
-    counted: bool,
+struct Model {
+    non_idempotent: bool,
+    is_sending: bool,
+    is_run_counted: bool,
     runs: u32,
     tokens: u32,
-    over: bool,
+    is_finished: bool,
 }
 
 struct Machine;
 
 impl ReferenceStateMachine for Machine {
-    type State = World;
+    type State = Model;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<World> {
+    fn init_state() -> BoxedStrategy<Model> {
         any::<bool>()
-            .prop_map(|once| World {
-                once,
-                sending: false,
-                counted: false,
+            .prop_map(|non_idempotent| Model {
+                non_idempotent,
+                is_sending: false,
+                is_run_counted: false,
                 runs: 0,
                 tokens: 0,
-                over: false,
+                is_finished: false,
             })
             .boxed()
     }
 
-    fn transitions(state: &World) -> BoxedStrategy<Step> {
-        if state.over {
-            return Just(Step::Rest).boxed();
+    fn transitions(state: &Model) -> BoxedStrategy<Step> {
+        if state.is_finished {
+            return Just(Step::Finished).boxed();
         }
-        if !state.sending {
+        if !state.is_sending {
             return (0..4_u64).prop_map(Step::Begin).boxed();
         }
         prop_oneof![
             3 => Just(Step::Token),
-            2 => Just(Step::FailBefore),
-            2 => any::<bool>().prop_map(|ran| Step::FailUnseen { ran }),
+            2 => Just(Step::FailBeforeRun),
+            2 => any::<bool>().prop_map(|ran| Step::FailUnknown { ran }),
         ]
         .boxed()
     }
 
-    fn apply(mut state: World, step: &Step) -> World {
+    fn apply(mut state: Model, step: &Step) -> Model {
         match step {
-            Step::Begin(_) => (state.sending, state.counted) = (true, false),
+            Step::Begin(_) => (state.is_sending, state.is_run_counted) = (true, false),
             Step::Token => {
-                state.runs += u32::from(!state.counted);
-                state.counted = true;
+                state.runs += u32::from(!state.is_run_counted);
+                state.is_run_counted = true;
                 state.tokens += 1;
             }
-            Step::Rest => {}
-            Step::FailBefore => {
-                state.sending = false;
-                state.over |= state.once && state.runs > 0;
+            Step::Finished => {}
+            Step::FailBeforeRun => {
+                state.is_sending = false;
+                state.is_finished |= state.non_idempotent && state.runs > 0;
             }
-            Step::FailUnseen { ran } => {
-                state.sending = false;
-                state.runs += u32::from(*ran && !state.counted);
-                state.over |= state.once;
+            Step::FailUnknown { ran } => {
+                state.is_sending = false;
+                state.runs += u32::from(*ran && !state.is_run_counted);
+                state.is_finished |= state.non_idempotent;
             }
         }
         state
     }
 
-    fn preconditions(state: &World, step: &Step) -> bool {
+    fn preconditions(state: &Model, step: &Step) -> bool {
         match step {
-            Step::Begin(_) => !state.sending && !state.over,
-            Step::Token | Step::FailUnseen { .. } => state.sending,
-            // A server that sent a token cannot say that it did not start.
-            Step::FailBefore => state.sending && !state.counted,
-            Step::Rest => state.over,
+            Step::Begin(_) => !state.is_sending && !state.is_finished,
+            Step::Token | Step::FailUnknown { .. } => state.is_sending,
+            // A server that sent a token cannot report that the request did not run.
+            Step::FailBeforeRun => state.is_sending && !state.is_run_counted,
+            Step::Finished => state.is_finished,
         }
     }
 }
@@ -103,26 +103,26 @@
     type SystemUnderTest = AttemptLog;
     type Reference = Machine;
 
-    fn init_test(world: &World) -> AttemptLog {
-        AttemptLog::new(if world.once {
+    fn init_test(model: &Model) -> AttemptLog {
+        AttemptLog::new(if model.non_idempotent {
             Repeatable::OnlyIfNotRun
         } else {
             Repeatable::Always
         })
     }
 
-    fn apply(mut log: AttemptLog, world: &World, step: Step) -> AttemptLog {
+    fn apply(mut log: AttemptLog, model: &Model, step: Step) -> AttemptLog {
         match step {
             Step::Begin(server) => log.begin(ServerId(server)),
             Step::Token => log.deliver(),
-            Step::Rest => {}
-            Step::FailBefore | Step::FailUnseen { .. } => {
+            Step::Finished => {}
+            Step::FailBeforeRun | Step::FailUnknown { .. } => {
                 let failure = match step {
-                    Step::FailBefore => AttemptFailure::NotRun,
+                    Step::FailBeforeRun => AttemptFailure::NotRun,
                     _ => AttemptFailure::MayHaveRun,
                 };
                 let next = log.fail(failure);
-                if world.over {
+                if model.is_finished {
                     assert_eq!(
                         next,
                         NextStep::GiveUp,
@@ -137,12 +137,12 @@
         log
     }
 
-    fn check_invariants(log: &AttemptLog, world: &World) {
+    fn check_invariants(log: &AttemptLog, model: &Model) {
         if log.outcome() == Outcome::NotRun {
-            assert_eq!((world.runs, world.sending), (0, false));
+            assert_eq!((model.runs, model.is_sending), (0, false));
         }
-        assert!(!world.once || world.runs <= 1, "{world:?}");
-        assert_eq!(log.delivered_tokens(), world.tokens);
+        assert!(!model.non_idempotent || model.runs <= 1, "{model:?}");
+        assert_eq!(log.delivered_tokens(), model.tokens);
         assert_eq!(log.tried().len() as u32, log.attempts());
     }
 }
@@ -151,11 +151,11 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, rng_seed: RngSeed::Fixed(6), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_log_never_says_not_run_of_a_request_that_ran(sequential 1..16 => Machine);
+    fn the_log_never_reports_not_run_for_a_request_that_ran(sequential 1..16 => Machine);
 }
 
 #[test]
-fn a_request_of_which_no_attempt_started_is_not_run_whatever_ends_it() {
+fn a_request_whose_attempts_all_failed_before_running_is_not_run() {
     let mut log = AttemptLog::new(Repeatable::Always);
     for server in 0..3 {
         log.begin(ServerId(server));
@@ -166,14 +166,14 @@
 }
 
 #[test]
-fn a_refusal_for_want_of_room_after_a_broken_attempt_is_unknown() {
+fn an_overload_refusal_after_a_failed_attempt_has_an_unknown_outcome() {
     let mut log = AttemptLog::new(Repeatable::Always);
     log.begin(ServerId(1));
     log.fail(AttemptFailure::MayHaveRun);
     let full = sapphiretrack_core::Refusal::not_run(RefusalCode::Overloaded, "full");
-    let told = log.correct(full.retry_after(700));
+    let corrected = log.correct(full.retry_after(700));
     assert_eq!(
-        (told.code, told.outcome, told.retry_after_ms),
+        (corrected.code, corrected.outcome, corrected.retry_after_ms),
         (RefusalCode::ServerFailed, Outcome::Unknown, Some(700))
     );
 }
--- a/crates/sapphiretrack-core/tests/cell.rs
+++ b/crates/sapphiretrack-core/tests/cell.rs
@@ -1,4 +1,4 @@
-//! Cells: workspaces and chats stay where they are while cells come and go.
+//! Assignment of workspaces and chats to cells, and its stability when cells are added or removed.
 
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_cell_that_joins_moves_only_its_own_share() {
+fn an_added_cell_moves_only_its_own_share_of_workspaces() {
     let (before, after) = (cells(45), cells(46));
     let moved: Vec<CellId> = (0..24_000)
         .filter(|workspace| first_cell(*workspace, &before) != first_cell(*workspace, &after))
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_closed_cell_takes_no_workspace_and_weights_scale_shares() {
+fn a_closed_cell_gets_no_workspaces_and_weights_scale_shares() {
     let mut cells = cells(10);
     cells[3].weight = 0.0;
     cells[4].weight = 80.0;
@@ -57,7 +57,11 @@
     }
     assert_eq!(counts[3], 0);
     let all = cells_of_workspace(WorkspaceKey(1), &cells, 10);
-    assert_eq!(all.len(), 9, "the closed cell is no last resort either");
+    assert_eq!(
+        all.len(),
+        9,
+        "a closed cell is not even used as the last choice"
+    );
     assert!(
         (1.7..2.3).contains(&(f64::from(counts[4]) / f64::from(counts[5]))),
         "{counts:?}"
@@ -65,7 +69,7 @@
 }
 
 #[test]
-fn a_chat_stays_in_its_cell_unless_that_cell_goes() {
+fn a_chat_stays_in_its_cell_unless_that_cell_is_removed() {
     let workspace_cells = cells_of_workspace(WorkspaceKey(7), &cells(45), 3);
     assert_eq!(workspace_cells.len(), 3);
     for chat in 0..2_000 {
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn a_workspace_has_an_order_of_routers_that_a_lost_router_leaves_as_it_is() {
+fn losing_a_router_keeps_the_order_of_a_workspaces_other_routers() {
     let routers: Vec<RouterId> = (0..8).map(RouterId).collect();
     let order = routers_of_workspace(WorkspaceKey(9), &routers, 8);
     let without: Vec<RouterId> = routers
--- a/crates/sapphiretrack-core/tests/config.rs
+++ b/crates/sapphiretrack-core/tests/config.rs
@@ -1,4 +1,4 @@
-//! Contracts and configurations: what is refused, what follows on what, and that nothing goes back.
+//! Contracts and configurations: rejected texts, the order of changes and increasing versions.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 "#;
 
 fn contract(customer: &str, key: &str) -> Contract {
-    let mut contract = parse_contract(CONTRACT).expect("the contract is good");
+    let mut contract = parse_contract(CONTRACT).expect("the contract is valid");
     contract.customer = customer.to_owned();
     contract.caller_keys_sha256 = vec![sha256_hex(key)];
     contract
@@ -39,7 +39,7 @@
     })
 }
 
-fn set(version: u64, customer: &str) -> Arc<HistoryEntry> {
+fn contract_entry(version: u64, customer: &str) -> Arc<HistoryEntry> {
     let contract = Box::new(contract(customer, customer));
     let seen_version = 0;
     let change = Change::Contract {
@@ -49,18 +49,20 @@
     entry(version, change)
 }
 
-fn after(versions: u64) -> FleetConfig {
-    let entries: Vec<_> = (1..=versions).map(|v| set(v, &format!("c{v}"))).collect();
+fn config_of_version(version: u64) -> FleetConfig {
+    let entries: Vec<_> = (1..=version)
+        .map(|v| contract_entry(v, &format!("c{v}")))
+        .collect();
     FleetConfig::default()
         .after_all(&entries)
-        .expect("the changes follow")
+        .expect("the changes are consecutive")
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_line_and_hint() {
+fn an_unknown_key_is_rejected_with_line_and_hint() {
     let text = CONTRACT.replace("in_flight = 4", "in_flight = 4\nin_flihgt = 5");
     let error = parse_contract(&text)
-        .expect_err("a typing error")
+        .expect_err("the key is misspelled")
         .to_string();
     for part in ["line 10", "in_flihgt", "in_flight", "hint"] {
         assert!(error.contains(part), "no {part:?} in {error}");
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn a_change_id_that_is_no_plain_name_is_refused() {
+fn an_invalid_change_id_is_rejected() {
     for bad in ["", "a/b", "a b", "\u{e9}", &"x".repeat(65)] {
         assert!(check_change_id(bad).is_err(), "{bad:?}");
     }
@@ -76,49 +78,73 @@
 }
 
 #[test]
-fn a_change_is_taken_only_on_the_version_before_it() {
-    let config = after(3);
-    assert_eq!(config.after(&set(5, "c5")), None, "a gap");
-    assert_eq!(config.after(&set(3, "c3")), None, "the same again");
-    let next = config.after(&set(4, "c4")).expect("the next one");
+fn a_change_applies_only_to_the_version_before_it() {
+    let config = config_of_version(3);
+    assert_eq!(config.after(&contract_entry(5, "c5")), None, "a gap");
+    assert_eq!(
+        config.after(&contract_entry(3, "c3")),
+        None,
+        "the same version"
+    );
+    let next = config
+        .after(&contract_entry(4, "c4"))
+        .expect("the next version");
     assert_eq!((next.version, next.contracts.len()), (4, 4));
 }
 
 #[test]
-fn a_republished_version_follows_only_on_the_one_that_was_held() {
-    let config = after(3);
+fn a_republished_version_applies_only_to_the_held_version() {
+    let config = config_of_version(3);
     let republished = |held_version| {
         let change = Change::Republished { held_version };
         entry(held_version + REPUBLISH_STEP, change)
     };
     assert_eq!(config.after(&republished(2)), None);
-    let next = config.after(&republished(3)).expect("it follows");
+    let next = config
+        .after(&republished(3))
+        .expect("the version is the held one");
     assert_eq!(next.version, 3 + REPUBLISH_STEP);
     assert_eq!(next.contracts, config.contracts);
 }
 
 #[test]
-fn changes_since_a_version_need_its_very_change() {
-    let config = after(100);
+fn changes_since_a_version_require_its_change_id() {
+    let config = config_of_version(100);
     let changes = config.changes_since(97, "change-97").expect("known");
-    assert_eq!(after(97).after_all(&changes), Some(config.clone()));
+    assert_eq!(
+        config_of_version(97).after_all(&changes),
+        Some(config.clone())
+    );
     assert_eq!(config.changes_since(97, "another"), None);
-    assert_eq!(config.changes_since(20, "change-20"), None, "too long ago");
+    assert_eq!(
+        config.changes_since(20, "change-20"),
+        None,
+        "the version is too old"
+    );
 }
 
 #[test]
-fn a_version_never_goes_back() {
-    let mut current = Arc::new(after(5));
-    assert_eq!(newer_config(&mut current, after(4)), Refreshed::Kept);
-    assert_eq!(newer_config(&mut current, after(5)), Refreshed::Kept);
+fn the_version_never_decreases() {
+    let mut current = Arc::new(config_of_version(5));
+    assert_eq!(
+        newer_config(&mut current, config_of_version(4)),
+        Refreshed::Kept
+    );
+    assert_eq!(
+        newer_config(&mut current, config_of_version(5)),
+        Refreshed::Kept
+    );
     assert_eq!(current.version, 5);
-    assert_eq!(newer_config(&mut current, after(6)), Refreshed::InForce);
+    assert_eq!(
+        newer_config(&mut current, config_of_version(6)),
+        Refreshed::InForce
+    );
     assert_eq!(current.version, 6);
 }
 
 #[test]
-fn the_index_finds_each_key_and_no_other() {
-    let config = after(50);
+fn the_index_finds_all_listed_keys_and_no_others() {
+    let config = config_of_version(50);
     let index = KeyIndex::new(&config);
     for number in 1..=50 {
         let name = format!("c{number}");
@@ -129,7 +155,7 @@
 }
 
 #[test]
-fn differences_name_each_field_with_old_and_new() {
+fn differences_list_each_field_with_its_old_and_new_value() {
     let old = contract("plant-a", "k");
     let mut new = old.clone();
     new.limits.in_flight = 9;
@@ -142,12 +168,12 @@
 }
 
 #[test]
-fn contracts_with_equal_tables_share_them_once_they_are_read() {
-    let text = toml::to_string(&after(3)).expect("it has a text form");
-    let config: FleetConfig = toml::from_str(&text).expect("it reads back");
-    assert_eq!(config, after(3));
+fn parsed_contracts_share_equal_tables() {
+    let text = toml::to_string(&config_of_version(3)).expect("a configuration can be written");
+    let config: FleetConfig = toml::from_str(&text).expect("a written configuration can be parsed");
+    assert_eq!(config, config_of_version(3));
     let mut contracts = config.contracts.values();
-    let first = contracts.next().expect("there are three");
+    let first = contracts.next().expect("there are three contracts");
     for contract in contracts {
         assert!(Arc::ptr_eq(&contract.classes, &first.classes));
         assert!(Arc::ptr_eq(&contract.pools, &first.pools));
--- a/crates/sapphiretrack-core/tests/contract.rs
+++ b/crates/sapphiretrack-core/tests/contract.rs
@@ -1,12 +1,12 @@
-//! Contracts as text from outside.
+//! Parsing of arbitrary and damaged contract texts.
 
 use proptest::prelude::*;
 use sapphiretrack_core::{Contract, parse_contract};
 
-const GOOD: &str = include_str!("../../../docs/examples/monterrey.toml");
+const EXAMPLE: &str = include_str!("../../../docs/examples/monterrey.toml");
 
-/// What holds of every contract that is taken.
-fn is_sound(contract: &Contract) -> bool {
+/// Checks the properties of every accepted contract.
+fn is_valid(contract: &Contract) -> bool {
     contract.classes.contains_key(&contract.default_class)
         && contract.limits.requests_per_s > 0.0
         && contract.limits.requests_per_s.is_finite()
@@ -20,27 +20,27 @@
 
 proptest! {
     #[test]
-    fn any_text_is_refused_with_a_hint_or_sound(text in "\\PC{0,200}") {
+    fn any_text_is_rejected_with_a_hint_or_valid(text in "\\PC{0,200}") {
         match parse_contract(&text) {
-            Ok(contract) => prop_assert!(is_sound(&contract)),
+            Ok(contract) => prop_assert!(is_valid(&contract)),
             Err(error) => prop_assert!(error.to_string().contains("hint: ")),
         }
     }
 
     #[test]
-    fn a_damaged_contract_is_refused_with_a_hint_or_sound(
-        at in 0..GOOD.len(),
+    fn a_damaged_contract_is_rejected_with_a_hint_or_valid(
+        start in 0..EXAMPLE.len(),
         length in 0_usize..40,
-        put in "[-0-9a-z=\"\\[\\]\n. ]{0,8}",
+        inserted in "[-0-9a-z=\"\\[\\]\n. ]{0,8}",
     ) {
-        let end = (at + length).min(GOOD.len());
-        prop_assume!(GOOD.is_char_boundary(at) && GOOD.is_char_boundary(end));
-        let text = format!("{}{put}{}", &GOOD[..at], &GOOD[end..]);
+        let end = (start + length).min(EXAMPLE.len());
+        prop_assume!(EXAMPLE.is_char_boundary(start) && EXAMPLE.is_char_boundary(end));
+        let text = format!("{}{inserted}{}", &EXAMPLE[..start], &EXAMPLE[end..]);
         match parse_contract(&text) {
             Ok(contract) => {
-                prop_assert!(is_sound(&contract));
+                prop_assert!(is_valid(&contract));
                 let written = toml::to_string(&contract).expect("a contract can be written");
-                prop_assert_eq!(parse_contract(&written).expect("and read again"), contract);
+                prop_assert_eq!(parse_contract(&written).expect("a written contract can be parsed"), contract);
             }
             Err(error) => prop_assert!(error.to_string().contains("hint: ")),
         }
--- a/crates/sapphiretrack-core/tests/fair_share.rs
+++ b/crates/sapphiretrack-core/tests/fair_share.rs
@@ -1,4 +1,4 @@
-//! Fair shares: by weight, nothing left over, and only while a pool is full.
+//! Fair shares: weighted, without unused capacity, and enforced only while a pool is full.
 
 use proptest::prelude::*;
 use sapphiretrack_core::{Demand, FULL_FOR_MS, PoolShares, fair_shares};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn what_one_leaves_goes_to_the_others_by_weight() {
+fn unused_capacity_goes_to_the_others_by_weight() {
     let demands = [demand(1.0, 100.0), demand(1.0, 2.0), demand(2.0, 100.0)];
     assert_eq!(fair_shares(32.0, &demands), [10.0, 2.0, 20.0]);
     assert_eq!(fair_shares(500.0, &demands), [100.0, 2.0, 100.0]);
@@ -16,7 +16,7 @@
 
 proptest! {
     #[test]
-    fn shares_are_within_demand_and_capacity_and_use_both(
+    fn shares_stay_within_demand_and_use_the_capacity(
         capacity in 0.0..1_000.0_f64,
         demands in prop::collection::vec((0.1..10.0_f64, 0.0..500.0_f64), 1..8),
     ) {
@@ -27,19 +27,20 @@
         prop_assert!((given - capacity.min(wanted)).abs() < 1e-6);
         for (share, demand) in shares.iter().zip(&demands) {
             prop_assert!(*share <= demand.wanted + 1e-9);
-            // Whoever goes short has no less per weight than anybody else.
+            // A customer with unmet demand gets no less per weight than any other.
             for (other, other_demand) in shares.iter().zip(&demands) {
-                let short = *share + 1e-6 < demand.wanted;
-                let behind = share / demand.weight + 1e-6 < other / other_demand.weight;
-                prop_assert!(!(short && behind));
+                let is_unmet = *share + 1e-6 < demand.wanted;
+                let is_behind = share / demand.weight + 1e-6 < other / other_demand.weight;
+                prop_assert!(!(is_unmet && is_behind));
             }
         }
     }
 }
 
-/// Two customers of one weight on a pool with ten places; one comes ten times as often.
-fn in_flight_after_surge(fair: bool) -> (u32, u32) {
-    const PLACES: usize = 10;
+/// Simulates two customers of equal weight on a pool with ten slots; one of them sends ten times as
+/// many requests. Returns the numbers of admitted requests, with the more frequent customer first.
+fn admitted_in_surge(enforces_shares: bool) -> (u32, u32) {
+    const SLOTS: usize = 10;
     let mut shares = PoolShares::default();
     let mut running: std::collections::VecDeque<(u64, &str)> = std::collections::VecDeque::new();
     let (mut loud, mut quiet) = (0, 0);
@@ -52,9 +53,9 @@
         if !shares.try_enter(customer, 100.0, now_ms) {
             continue;
         }
-        if running.len() >= PLACES {
+        if running.len() >= SLOTS {
             shares.leave(customer);
-            if fair {
+            if enforces_shares {
                 shares.note_full(now_ms);
             }
             continue;
@@ -70,15 +71,15 @@
 
 #[test]
 fn a_loud_customer_does_not_crowd_out_a_quiet_one() {
-    let (loud, quiet) = in_flight_after_surge(false);
+    let (loud, quiet) = admitted_in_surge(false);
     assert!(quiet * 4 < loud, "first come, first served: {loud} {quiet}");
-    let (loud, quiet) = in_flight_after_surge(true);
-    assert!(quiet * 3 > loud * 2, "fair: {loud} {quiet}");
-    assert!(loud + quiet > 350, "the places are used: {loud} {quiet}");
+    let (loud, quiet) = admitted_in_surge(true);
+    assert!(quiet * 3 > loud * 2, "with fair shares: {loud} {quiet}");
+    assert!(loud + quiet > 350, "the slots are used: {loud} {quiet}");
 }
 
 #[test]
-fn a_customer_alone_has_the_whole_pool() {
+fn a_single_customer_may_use_the_whole_pool() {
     let mut shares = PoolShares::default();
     shares.note_full(0);
     for _ in 0..50 {
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn shares_end_when_the_pool_has_room_again() {
+fn shares_end_when_the_pool_has_capacity_again() {
     let mut shares = PoolShares::default();
     for _ in 0..9 {
         assert!(shares.try_enter("loud", 1.0, 0));
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn shares_are_of_the_room_that_there_was_and_not_of_what_is_left_in_flight() {
+fn shares_depend_on_the_requests_in_flight_at_the_last_refusal() {
     let mut shares = PoolShares::default();
     for _ in 0..9 {
         assert!(shares.try_enter("loud", 1.0, 0));
@@ -118,11 +119,12 @@
     assert_eq!(entered("loud"), 2);
 }
 
-/// Twelve and a half places of twenty-four are asked for by one customer, fifty by another, both
-/// of one weight, through three routers that fill the same two servers. Returns how many of its
-/// 75 requests the first one got in, by the number that draws the servers.
+/// Simulates two customers of equal weight whose requests arrive through three routers at the same
+/// two servers with 24 slots in total. One customer needs 12.5 slots, the other one 50. Returns how
+/// many of the first one's 75 requests are admitted. `seed` determines the order of the servers and
+/// the service times.
 fn admitted_of_the_quiet_customer(seed: u64) -> usize {
-    const PLACES: usize = 12;
+    const SLOTS: usize = 12;
     const SERVICE_MS: u64 = 1_020;
     let mut random = seed;
     let mut routers: [PoolShares; 3] = Default::default();
@@ -138,18 +140,18 @@
         }
         let router = number % 3;
         let shares = &mut routers[router];
-        let quiet_too = (number % 4 == 3).then_some("quiet");
-        for customer in ["loud"].into_iter().chain(quiet_too) {
+        let quiet_customer = (number % 4 == 3).then_some("quiet");
+        for customer in ["loud"].into_iter().chain(quiet_customer) {
             if !shares.try_enter(customer, 100.0, now_ms) {
                 continue;
             }
-            let limit = PLACES as f64 * shares.bound_share(customer, now_ms);
+            let limit = SLOTS as f64 * shares.bound_share(customer, now_ms);
             random = random
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1);
             let first = (random >> 40) as usize % 2;
-            let places = [first, 1 - first];
-            let free = places
+            let order = [first, 1 - first];
+            let free = order
                 .iter()
                 .find(|server| servers[**server].len() < limit as usize);
             let Some(server) = free else {
@@ -166,15 +168,18 @@
 }
 
 #[test]
-fn places_that_other_routers_fill_do_not_crowd_out_a_quiet_customer() {
+fn slots_filled_by_other_routers_do_not_crowd_out_a_quiet_customer() {
     let admitted: Vec<usize> = (0..200).map(admitted_of_the_quiet_customer).collect();
-    let least = admitted.iter().min().expect("some were played");
-    // Half of the room is twelve of the twelve and a half places that it asks for.
-    assert!(least * 10 >= 75 * 7, "{least} of 75, of all {admitted:?}");
+    let least = admitted.iter().min().expect("there are 200 runs");
+    // Its share is half of the capacity, which is 12 of the 12.5 slots that it needs.
+    assert!(
+        least * 10 >= 75 * 7,
+        "only {least} of 75 admitted in the worst run, in all runs: {admitted:?}"
+    );
 }
 
 #[test]
-fn only_a_customer_that_asks_more_leaves_places_free_and_only_while_the_pool_is_full() {
+fn only_a_customer_with_more_requests_leaves_slots_free_and_only_while_the_pool_is_full() {
     let mut shares = PoolShares::default();
     for now_ms in 0..40 {
         shares.try_enter("loud", 1.0, now_ms);
--- a/crates/sapphiretrack-core/tests/outcome.rs
+++ b/crates/sapphiretrack-core/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! The list of refusal codes and the callers' page say the same.
+//! The refusal codes in the code and in docs/callers.md are the same.
 
 use std::collections::BTreeSet;
 
@@ -13,11 +13,11 @@
         let row = format!("| `{}` | {} |", code.as_str(), code.http_status());
         assert!(
             PAGE.contains(&row),
-            "docs/callers.md has no row that starts {row:?}"
+            "docs/callers.md has no row that starts with {row:?}"
         );
         assert!(
             listed.insert(code.as_str()),
-            "{} stands twice",
+            "{} is listed twice",
             code.as_str()
         );
         assert!(!code.hint().is_empty());
@@ -34,7 +34,7 @@
             .unwrap_or_default();
         assert!(
             listed.contains(code),
-            "docs/callers.md lists {code:?}, which no refusal has"
+            "docs/callers.md lists {code:?}, which is not a refusal code"
         );
     }
 }
--- a/crates/sapphiretrack-core/tests/overload.rs
+++ b/crates/sapphiretrack-core/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Shedding, drain rate, retry budget, outlier detection.
+//! Load shedding, drain rate, retry budget and outlier detection.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -15,13 +15,13 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(6), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_class_never_gets_more_than_a_class_above_it(
-        notes in prop::collection::vec((0..4_u8, 0..4_000_u64, 0..200_u64), 0..200),
+    fn a_class_never_gets_a_larger_share_than_a_more_urgent_one(
+        requests in prop::collection::vec((0..4_u8, 0..4_000_u64, 0..200_u64), 0..200),
     ) {
         let mut shed = ShedControl::default();
         let mut now_ms = 1;
-        for (priority, took_ms, later_ms) in notes {
-            now_ms += later_ms;
+        for (priority, took_ms, delay_ms) in requests {
+            now_ms += delay_ms;
             shed.note_request(priority, now_ms);
             shed.note_answer(priority, took_ms, 2_000, now_ms);
             let shares: Vec<f64> = (0..4).map(|class| shed.share(class, now_ms)).collect();
@@ -31,14 +31,14 @@
     }
 
     #[test]
-    fn retries_stay_under_the_budget_through_a_brown_out(
-        requests in 1..2_000_u32, tries_each in 1..4_u32,
+    fn retries_stay_within_the_budget_during_a_brown_out(
+        requests in 1..2_000_u32, attempts_each in 1..4_u32,
     ) {
         let mut budget = RetryBudget::new(0.08);
         let mut retries = 0;
         for _ in 0..requests {
             budget.note_request();
-            retries += (0..tries_each).filter(|_| budget.try_retry()).count();
+            retries += (0..attempts_each).filter(|_| budget.try_retry()).count();
         }
         prop_assert!(retries as f64 <= 5.0 + 0.08 * f64::from(requests) + 1e-6);
     }
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn late_answers_shed_the_lowest_class_first_and_room_comes_back() {
+fn late_answers_shed_the_least_urgent_class_first_and_it_recovers() {
     let mut shed = ShedControl::default();
     let mut now_ms = 1_000;
     for _ in 0..20 {
@@ -69,12 +69,12 @@
     assert_eq!(
         shed.share(2, now_ms),
         1.0,
-        "no urgent request was seen for long"
+        "no urgent request was seen for a long time"
     );
 }
 
 #[test]
-fn refused_callers_come_back_no_faster_than_requests_end() {
+fn refused_callers_are_told_to_retry_no_faster_than_requests_end() {
     let mut drain = DrainRate::new(0);
     for now_ms in (0..20_000).step_by(20) {
         drain.note_end(now_ms);
@@ -88,13 +88,13 @@
     let last = *waits.last().expect("some");
     assert!(
         (9_000..11_000).contains(&last),
-        "500 callers at 50 a second: {last}"
+        "500 callers at 50 requests per second: {last}"
     );
     assert!(waits.windows(2).all(|pair| pair[0] <= pair[1]));
 }
 
 #[test]
-fn a_standstill_gives_the_longest_wait() {
+fn the_retry_delay_is_long_if_no_requests_end() {
     let mut drain = DrainRate::new(0);
     for second in 1..60 {
         drain.retry_after_ms(0.5, second * 1_000);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_failing_server_is_left_out_and_comes_back_slowly() {
+fn a_failing_server_is_ejected_and_reintroduced_slowly() {
     let mut outliers = OutlierDetector::new(OutlierSettings::default());
     let bad = ServerId(1);
     for _ in 0..4 {
@@ -115,8 +115,8 @@
     assert!(outliers.share(bad, first_ms) <= 0.1 + 1e-9);
     assert!((outliers.share(bad, first_ms + 5_000) - 0.55).abs() < 1e-9);
     let order = filter(&outliers, 3, 0.9, first_ms + 5_000);
-    assert_eq!(order.last(), Some(&bad), "the last resort");
-    // One failure while it comes back is enough, and the next time is twice as long.
+    assert_eq!(order.last(), Some(&bad), "it is the last choice");
+    // One failure during reintroduction is enough, and the next ejection lasts twice as long.
     assert!(outliers.note_failure(bad, first_ms + 5_000));
     assert_eq!(outliers.share(bad, first_ms + 5_000 + 3_999), 0.0);
     outliers.note_success(bad, 30_000);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn when_most_servers_fail_none_is_left_out() {
+fn if_most_servers_fail_none_is_ejected() {
     let mut outliers = OutlierDetector::new(OutlierSettings::default());
     for server in 0..2 {
         for _ in 0..5 {
--- a/crates/sapphiretrack-core/tests/path.rs
+++ b/crates/sapphiretrack-core/tests/path.rs
@@ -1,11 +1,11 @@
-//! Paths on services: a non-idempotent path has no second spelling.
+//! Paths of services: the rule of a non-idempotent path covers every accepted spelling of it.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sapphiretrack_core::{RefusalCode, check_path, prefix_covers};
 
-/// How a lenient service might read a path.
-fn lenient(path: &str) -> Vec<String> {
+/// The segments of a path in the interpretation of a lenient service.
+fn lenient_segments(path: &str) -> Vec<String> {
     let mut bytes = Vec::new();
     let mut rest = path.as_bytes();
     while let [first, tail @ ..] = rest {
@@ -33,23 +33,23 @@
     #![proptest_config(ProptestConfig { cases: 4_096, failure_persistence: None, rng_seed: RngSeed::Fixed(6), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_path_that_is_let_in_is_covered_if_a_lenient_service_reads_it_so(
+    fn an_accepted_path_is_covered_by_a_rule_if_a_lenient_service_interprets_it_so(
         pieces in prop::collection::vec(prop::sample::select(vec![
             "labels", "Labels", "print", "PRINT", "pr%69nt", "/", "//", "%2f", "%5C", "\\", ".",
             "..", "%2e%2e", ";x", "x", "%00", "%", "%252f", "/labels/print", "labels/print", "Labels/Print", "/Labels/Print",
         ]), 0..8),
     ) {
         let path = format!("/{}", pieces.concat());
-        let read = lenient(&path);
-        let meant = read.len() >= 2 && read[0] == "labels" && read[1] == "print";
-        if check_path(&path).is_ok() && meant {
+        let segments = lenient_segments(&path);
+        let is_rule_path = segments.len() >= 2 && segments[0] == "labels" && segments[1] == "print";
+        if check_path(&path).is_ok() && is_rule_path {
             prop_assert!(prefix_covers("/labels/print", &path), "{path}");
             prop_assert!(prefix_covers("labels/print/", &path), "{path}");
         }
     }
 
     #[test]
-    fn any_text_gets_a_verdict(path in ".{0,64}") {
+    fn any_text_is_accepted_or_refused_as_a_bad_path(path in ".{0,64}") {
         if let Err(refusal) = check_path(&path) {
             prop_assert_eq!(refusal.code, RefusalCode::BadPath);
         }
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn plain_paths_are_let_in() {
+fn ordinary_paths_are_accepted() {
     for path in [
         "/",
         "/pallets/17",
--- a/crates/sapphiretrack-core/tests/placement.rs
+++ b/crates/sapphiretrack-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Ranking, the bound, the placement memory and the short wait.
+//! Ranking of servers, the load bound, the placement memory and waits for a slot.
 
 use std::net::SocketAddr;
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_returning_chat_goes_where_it_is_warm_and_a_join_moves_none() {
+fn a_returning_chat_is_placed_where_it_is_cached_even_after_a_server_joins() {
     let settings = PlacementSettings::default();
     for id in 1..=12 {
         let warm = [hint(id)];
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_full_warm_server_is_imported_from() {
+fn a_chat_is_imported_from_a_full_server_that_has_it_cached() {
     let mut pool = pool(12);
     pool.servers[2].in_flight = 60;
     let warm = [hint(3)];
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_restarted_server_is_no_longer_warm_nor_imported_from() {
+fn a_restarted_server_is_neither_warm_nor_an_import_source() {
     let mut pool = pool(12);
     pool.servers[2].report.incarnation = 2;
     let warm = [hint(3)];
@@ -94,12 +94,12 @@
     assert!(
         ranked
             .iter()
-            .all(|one| !one.warm && one.import_from.is_none())
+            .all(|candidate| !candidate.warm && candidate.import_from.is_none())
     );
 }
 
 #[test]
-fn a_place_noted_before_its_server_was_first_heard_counts_after_that() {
+fn a_hint_recorded_before_the_servers_first_report_stays_valid() {
     let warm = [WarmHint {
         incarnation: UNKNOWN_INCARNATION,
         ..hint(3)
@@ -109,18 +109,18 @@
 }
 
 #[test]
-fn joining_and_leaving_servers_take_nothing_new() {
+fn joining_and_leaving_servers_are_not_ranked() {
     let mut pool = pool(4);
     pool.servers[0].is_joining = true;
     pool.servers[1].state = VmState::Leaving;
     let ranked = rank_servers(&PlacementSettings::default(), &pool, &request(&[]));
-    let mut ids: Vec<u64> = ranked.iter().map(|one| one.server.0).collect();
+    let mut ids: Vec<u64> = ranked.iter().map(|candidate| candidate.server.0).collect();
     ids.sort_unstable();
     assert_eq!(ids, [3, 4]);
 }
 
 #[test]
-fn the_bound_is_never_passed_by_a_fraction_and_never_stops_a_pool_below_it() {
+fn the_bound_is_never_exceeded_and_stops_no_pool_below_it() {
     let bound = LoadBound::default();
     for in_flight in 0..2_000 {
         let load = PoolLoad {
@@ -134,17 +134,17 @@
             let limit = server_limit(&bound, &load, share);
             let multiple = bound.load_multiple * mean;
             assert!(f64::from(limit) <= multiple.max(f64::from(bound.floor_requests)));
-            let emptiest = in_flight / 12;
+            let least_loaded = in_flight / 12;
             let is_shed = share < SHED_BELOW_SHARE;
             let ceiling = (f64::from(bound.ceiling_requests) * share).floor() as u32;
             assert!(limit <= ceiling);
-            assert!(is_shed || emptiest < limit || limit == ceiling);
+            assert!(is_shed || least_loaded < limit || limit == ceiling);
         }
     }
 }
 
 #[test]
-fn a_pool_is_never_counted_above_what_can_still_be_in_flight() {
+fn the_least_pool_load_decreases_with_the_age_of_the_counts() {
     let settings = DrainSettings::default();
     let seen = |age_ms| SeenLoad {
         in_flight: 100,
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn the_memory_holds_its_chats_in_64_bytes_each_and_forgets_the_oldest() {
+fn the_memory_takes_at_most_64_bytes_per_chat_and_replaces_the_oldest() {
     let chats = 10_000;
     let mut memory = PlacementMemory::new(chats);
     for chat in 1..=chats as u64 {
@@ -182,12 +182,12 @@
     assert_eq!(small.len(), 8);
     let recalled = small
         .recall(ChatKey(2), 9_000)
-        .expect("it is newer than the oldest");
+        .expect("it is not the oldest entry");
     assert_eq!((recalled.server, recalled.age_ms), (ServerId(2), 7_000));
 }
 
 #[test]
-fn a_wait_is_only_entered_when_it_is_expected_to_be_met() {
+fn a_request_waits_only_if_capacity_is_expected_in_time() {
     let settings = WaitSettings {
         deadline_fraction: 0.5,
         ..WaitSettings::default()
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_wait_for_a_steward_gets_longer_and_ends() {
+fn waits_for_a_steward_get_longer_and_end() {
     let settings = WaitSettings {
         deadline_fraction: 0.5,
         ..WaitSettings::default()
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn waits_add_up_to_no_more_than_their_part_of_the_deadline() {
+fn the_total_wait_stays_within_its_fraction_of_the_deadline() {
     let settings = WaitSettings::default();
     for (deadline_ms, in_flight) in [(1_000, 32), (2_000, 32), (2_000, 128), (3_000, 500)] {
         let mut waited_ms = 0;
@@ -230,13 +230,13 @@
             waited_ms += wait_ms;
         }
         assert!(waited_ms > 0);
-        let part_ms = (deadline_ms as f64 * settings.deadline_fraction) as u64;
-        assert!(waited_ms <= part_ms, "{waited_ms} of {deadline_ms}");
+        let allowed_ms = (deadline_ms as f64 * settings.deadline_fraction) as u64;
+        assert!(waited_ms <= allowed_ms, "{waited_ms} of {deadline_ms}");
     }
 }
 
 #[test]
-fn lower_classes_leave_headroom_at_the_ceiling_too() {
+fn less_urgent_classes_leave_headroom_at_the_ceiling_too() {
     let bound = LoadBound::default();
     let load = PoolLoad {
         least_in_flight: 10_000,
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn the_backlog_is_the_report_worked_off_and_own_sends_since() {
+fn the_backlog_is_the_report_plus_later_sends_minus_computed_tokens() {
     let settings = PlacementSettings::default();
     let sent = |age_ms| SentTokens {
         tokens: 1_000,
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_surging_workspace_spreads_and_then_shrinks_again() {
+fn the_subset_of_a_workspace_grows_and_shrinks_with_its_load() {
     let settings = PlacementSettings::default();
     let mut shares = WorkspaceShares::default();
     let homes = |share: f64| {
@@ -288,7 +288,7 @@
     assert_eq!(homes(0.01), settings.subset_servers);
     assert!(
         homes(share) > 30,
-        "a workspace with half of the load has {}",
+        "a workspace with half of the load uses {} servers",
         homes(share)
     );
     for step in 0..400 {
@@ -299,49 +299,49 @@
 }
 
 #[test]
-fn a_steward_that_refused_by_old_counts_is_told_the_load_of_now() {
+fn a_steward_that_refused_because_of_outdated_counts_gets_the_current_load() {
     let bound = LoadBound::default();
-    let now = PoolLoad {
+    let current = PoolLoad {
         least_in_flight: 95,
         in_flight: 95,
         live_servers: 12,
         open_servers: 12,
     };
-    let old = PoolLoad {
+    let outdated = PoolLoad {
         least_in_flight: 70,
-        ..now
+        ..current
     };
     let mut refusals = [8, 10].map(|held| FullServer {
         held,
         live_servers: 12,
         ..FullServer::default()
     });
-    assert_eq!(server_limit(&bound, &old, 1.0), 8);
-    let told = ask_again(&bound, &now, 1.0, refusals[0]).expect("there is room");
-    assert_eq!(server_limit(&bound, &old.with_told(told), 1.0), 10);
-    // What the steward knows itself is never lowered.
-    assert_eq!(now.with_told(ToldLoad::default()), now);
-    assert_eq!(ask_again(&bound, &now, 1.0, refusals[1]), None);
-    // A server that only one steward knows counts for all.
+    assert_eq!(server_limit(&bound, &outdated, 1.0), 8);
+    let told = ask_again(&bound, &current, 1.0, refusals[0]).expect("the server has capacity");
+    assert_eq!(server_limit(&bound, &outdated.with_told(told), 1.0), 10);
+    // The steward's own counts are never lowered.
+    assert_eq!(current.with_told(ToldLoad::default()), current);
+    assert_eq!(ask_again(&bound, &current, 1.0, refusals[1]), None);
+    // A server that only one steward knows counts for all servers of the pool.
     refusals[1].live_servers = 14;
     with_most_servers(refusals.iter_mut());
-    assert_eq!(ask_again(&bound, &now, 1.0, refusals[0]), None);
+    assert_eq!(ask_again(&bound, &current, 1.0, refusals[0]), None);
 }
 
 #[test]
-fn a_steward_that_did_not_help_is_passed_over_for_a_moment() {
+fn a_steward_that_did_not_help_is_skipped_for_a_while() {
     let settings = AskSettings::default();
-    let mut memory = AskMemory::new(settings);
+    let mut backoff = AskMemory::new(settings);
     let [one, other] = [RouterId(1), RouterId(2)];
     let [first, second] = [ServerId(1), ServerId(2)];
-    memory.note_silent(one, 0);
-    memory.note_not_steward(other, first, 0);
-    assert!(!memory.may_ask(one, first, settings.silent_ms - 1));
-    assert!(!memory.may_ask(other, first, settings.not_steward_ms - 1));
-    assert!(memory.may_ask(other, second, 0));
-    assert!(memory.may_ask(one, first, settings.silent_ms));
-    assert!(memory.may_ask(other, first, settings.not_steward_ms));
-    memory.note_silent(one, 2_000);
-    memory.note_seen(one);
-    assert!(memory.may_ask(one, first, 2_000));
+    backoff.note_silent(one, 0);
+    backoff.note_not_steward(other, first, 0);
+    assert!(!backoff.may_ask(one, first, settings.silent_ms - 1));
+    assert!(!backoff.may_ask(other, first, settings.not_steward_ms - 1));
+    assert!(backoff.may_ask(other, second, 0));
+    assert!(backoff.may_ask(one, first, settings.silent_ms));
+    assert!(backoff.may_ask(other, first, settings.not_steward_ms));
+    backoff.note_silent(one, 2_000);
+    backoff.note_seen(one);
+    assert!(backoff.may_ask(one, first, 2_000));
 }
--- a/crates/sapphiretrack-core/tests/warm_memory.rs
+++ b/crates/sapphiretrack-core/tests/warm_memory.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of warm chats: merged by age, told as ages.
+//! Hints that routers exchange about cached chats: sent with their ages and merged by age.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
     WarmList, keep_newest,
 };
 
-fn place(server: u64, age_ms: u64) -> WarmHint {
+fn hint(server: u64, age_ms: u64) -> WarmHint {
     WarmHint {
         server: ServerId(server),
         incarnation: 1,
@@ -17,53 +17,53 @@
 }
 
 fn server_of(memory: &PlacementMemory, chat: u64, now_ms: u64) -> Option<u64> {
-    let place = memory.recall(ChatKey(chat), now_ms)?;
-    Some(place.server.0)
+    let hint = memory.recall(ChatKey(chat), now_ms)?;
+    Some(hint.server.0)
 }
 
 #[test]
-fn merging_keeps_what_is_newer() {
+fn merging_keeps_newer_hints() {
     let mut memory = PlacementMemory::new(8);
-    memory.remember(ChatKey(1), place(1, 0), 50_000);
-    assert!(!memory.merge(ChatKey(1), place(2, 20_000), 60_000));
+    memory.remember(ChatKey(1), hint(1, 0), 50_000);
+    assert!(!memory.merge(ChatKey(1), hint(2, 20_000), 60_000));
     assert_eq!(server_of(&memory, 1, 60_000), Some(1));
-    assert!(memory.merge(ChatKey(1), place(3, 5_000), 60_000));
+    assert!(memory.merge(ChatKey(1), hint(3, 5_000), 60_000));
     assert_eq!(server_of(&memory, 1, 60_000), Some(3));
-    // A full bucket gives a place for something newer than its oldest only.
+    // A full bucket accepts only a hint that is newer than its oldest entry.
     for chat in 2..=8 {
-        memory.remember(ChatKey(chat), place(1, 0), 58_000);
+        memory.remember(ChatKey(chat), hint(1, 0), 58_000);
     }
-    assert!(!memory.merge(ChatKey(9), place(4, 30_000), 60_000));
-    assert!(memory.merge(ChatKey(9), place(4, 0), 60_000));
+    assert!(!memory.merge(ChatKey(9), hint(4, 30_000), 60_000));
+    assert!(memory.merge(ChatKey(9), hint(4, 0), 60_000));
     assert_eq!(server_of(&memory, 1, 60_000), None);
     assert_eq!(memory.len(), 8);
 }
 
 #[test]
-fn a_router_that_has_just_started_keeps_the_ages_that_it_is_told() {
+fn a_router_that_has_just_started_keeps_the_ages_of_received_hints() {
     let mut memory = PlacementMemory::new(8);
-    memory.merge(ChatKey(1), place(1, 600_000), 2_000);
-    assert!(!memory.merge(ChatKey(1), place(2, 900_000), 2_000));
-    let kept = memory.recall(ChatKey(1), 3_000).expect("it is remembered");
+    memory.merge(ChatKey(1), hint(1, 600_000), 2_000);
+    assert!(!memory.merge(ChatKey(1), hint(2, 900_000), 2_000));
+    let kept = memory.recall(ChatKey(1), 3_000).expect("it is stored");
     assert_eq!((kept.server, kept.age_ms), (ServerId(1), 601_000));
 }
 
 #[test]
-fn a_list_tells_places_with_ages_that_passing_on_never_lowers() {
+fn forwarding_hints_in_a_list_never_lowers_their_ages() {
     let mut memory = PlacementMemory::new(1_000);
     for chat in 1..=100 {
-        memory.remember(ChatKey(chat), place(chat % 3, 0), chat * 1_000 + 1);
+        memory.remember(ChatKey(chat), hint(chat % 3, 0), chat * 1_000 + 1);
     }
-    let mut places: Vec<_> = memory
+    let mut hints: Vec<_> = memory
         .in_buckets(0..memory.buckets(), 60_000, 100_500)
         .collect();
-    assert_eq!(places.len(), 60, "older ones are left out");
-    keep_newest(&mut places, 10);
-    let list = WarmList::new(places);
+    assert_eq!(hints.len(), 60, "older hints are left out");
+    keep_newest(&mut hints, 10);
+    let list = WarmList::new(hints);
     assert_eq!(list.servers.len(), 3);
     let mut ages: Vec<_> = list
         .places(1_000)
-        .map(|(chat, place)| (chat.0, place.age_ms))
+        .map(|(chat, hint)| (chat.0, hint.age_ms))
         .collect();
     ages.sort_unstable();
     let expected = (91..=100).map(|chat| (chat, (101 - chat) * 1_000 + 1_000));
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_chat_whose_server_is_not_listed_is_passed_over() {
-    let mut list = WarmList::new([(ChatKey(1), place(1, 0)), (ChatKey(2), place(2, 0))]);
+fn a_chat_whose_server_is_not_listed_is_skipped() {
+    let mut list = WarmList::new([(ChatKey(1), hint(1, 0)), (ChatKey(2), hint(2, 0))]);
     list.servers.pop();
     assert_eq!(list.places(0).count(), 1);
 }
 
 #[test]
-fn the_snapshot_of_a_peer_that_left_as_planned_is_not_read() {
+fn a_peer_that_stopped_as_planned_is_not_reported_as_lost() {
     let me = RouterId::from_name("router-0");
     let view = |index: u16, state| RouterView {
         id: RouterId::from_name(&format!("router-{index}")),
@@ -98,8 +98,12 @@
     assert_eq!(
         lost.note(&all[..1], me, 2_000),
         [all[1].id],
-        "the killed one only"
+        "only the killed router"
     );
     assert_eq!(lost.note(&all[..2], me, 3_000), []);
-    assert_eq!(lost.note(&all[..1], me, 4_000), [], "not again so soon");
+    assert_eq!(
+        lost.note(&all[..1], me, 4_000),
+        [],
+        "not again within a minute"
+    );
 }
