--- a/crates/sapphiretrackd/src/control/budgets.rs
+++ b/crates/sapphiretrackd/src/control/budgets.rs
@@ -1,4 +1,4 @@
-//! The budgets of the customers whose steward this router is.
+//! Budgets of the customers that this router is the steward of.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 use crate::control::ControlState;
 use crate::control::handle::BudgetPlace;
 
-/// How lately a router must have been seen to count for the share of budgets, in percent of the
-/// time after which its budgets get another steward.
-const BUDGET_HEARD_PERCENT: u64 = 60;
+/// A peer counts towards the share of budgets if it was seen within this percentage of
+/// `dead_after_ms`, the silence after which its budgets move to another steward.
+const RECENTLY_SEEN_PERCENT: u64 = 60;
 
-/// All budgets that this router keeps.
+/// The budgets that this router keeps as steward.
 #[derive(Default)]
 pub(crate) struct Budgets {
     customers: BTreeMap<String, CustomerBudget>,
@@ -23,8 +23,9 @@
 }
 
 impl Budgets {
-    /// Notes which routers may be stewards; forgets budgets that others keep, or nobody uses.
-    pub(crate) fn set_view(&mut self, me: RouterId, stewards: &[RouterId], now_ms: u64) {
+    /// Updates the routers that may be stewards, and drops budgets that now belong to another
+    /// steward or are idle.
+    pub(crate) fn update_stewards(&mut self, me: RouterId, stewards: &[RouterId], now_ms: u64) {
         if self.stewards != stewards {
             self.stewards = stewards.to_vec();
             self.stewards_changed_ms = now_ms;
@@ -34,24 +35,26 @@
         });
     }
 
-    /// Notes that this router stood still. After a long time others may have kept its budgets:
-    /// what the buckets gained in it may have been given out already.
-    pub(crate) fn note_pause(&mut self, gap_ms: u64, dead_after_ms: u64, now_ms: u64) {
+    /// Drops all budgets after a pause that was long enough for peers to declare this router dead.
+    ///
+    /// Another router may have been steward in the meantime, and may already have granted what the
+    /// buckets refilled during the pause.
+    pub(crate) fn reset_after_pause(&mut self, gap_ms: u64, dead_after_ms: u64, now_ms: u64) {
         if gap_ms + MAX_TURN_GAP_MS >= dead_after_ms {
             self.customers.clear();
             self.stewards_changed_ms = now_ms;
         }
     }
 
-    /// Answers a router about a customer whose steward this one is.
-    pub(crate) fn answer(
+    /// Answers a router that asks for budget of a customer, as the customer's steward.
+    pub(crate) fn grant(
         &mut self,
         ask: &BudgetAsk,
         contract: &Contract,
         share: f64,
         now_ms: u64,
     ) -> BudgetReply {
-        // The steward before may have leased budgets that still last.
+        // Leases granted by the previous steward may still be valid.
         let knows_holders = now_ms.saturating_sub(self.stewards_changed_ms) >= BUDGET_LEASE_MS;
         let budget = self
             .customers
@@ -61,14 +64,14 @@
     }
 }
 
-/// The router that keeps a customer's budget: rendezvous over the live routers.
+/// The steward of a customer, chosen by rendezvous hashing over the routers in `stewards`.
 pub(crate) fn budget_steward(customer: &str, stewards: &[RouterId]) -> Option<RouterId> {
     let key = hash_parts(&[b"budget", customer.as_bytes()]);
     steward_of(ServerId(key), stewards)
 }
 
 impl ControlState {
-    /// Answers a question about a budget, or tells where to ask it.
+    /// Returns the peer that is the customer's steward, or this router's own answer if no peer is.
     pub(crate) fn lease_budget(&mut self, ask: BudgetAsk, now_ms: u64) -> BudgetPlace {
         let steward = budget_steward(&ask.customer, &self.stewards);
         let peer = steward.and_then(|steward| Some((steward, self.peers.get(steward)?)));
@@ -78,28 +81,30 @@
                 address: peer.profile.peer_address,
                 ask,
             },
-            None => BudgetPlace::Here(self.keep_budget(&ask, now_ms)),
+            None => BudgetPlace::Here(self.answer_budget_ask(&ask, now_ms)),
         }
     }
 
-    /// Answers a router about a budget that this one may keep.
-    pub(super) fn keep_budget(&mut self, ask: &BudgetAsk, now_ms: u64) -> BudgetReply {
+    /// Answers a budget request, with `NotSteward` if this router is not the steward or does not
+    /// know the customer's contract.
+    pub(super) fn answer_budget_ask(&mut self, ask: &BudgetAsk, now_ms: u64) -> BudgetReply {
         let steward = budget_steward(&ask.customer, &self.stewards);
         let contract = self.config.contracts.get(&ask.customer);
         match contract {
             Some(contract) if steward == Some(self.identity.id) => {
                 let contract = contract.clone();
                 let share = self.budget_share(now_ms);
-                self.budgets.answer(ask, &contract, share, now_ms)
+                self.budgets.grant(ask, &contract, share, now_ms)
             }
             _ => BudgetReply::NotSteward,
         }
     }
 
-    /// The part of each budget that this router may give out as steward: the part of the routers
-    /// that it sees. The others may have another steward.
+    /// The fraction of each budget that this router may grant as steward: the routers that it saw
+    /// recently, divided by the routers that it expects. Routers that it does not see may use
+    /// another steward.
     fn budget_share(&self, now_ms: u64) -> f64 {
-        let seen_within_ms = self.timing.dead_after_ms * BUDGET_HEARD_PERCENT / 100;
+        let seen_within_ms = self.timing.dead_after_ms * RECENTLY_SEEN_PERCENT / 100;
         let seen = 1 + self.peers.live_seen_within(seen_within_ms, now_ms);
         seen as f64 / self.peers.expected_routers().max(seen) as f64
     }
--- a/crates/sapphiretrackd/src/control/configuration.rs
+++ b/crates/sapphiretrackd/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as this router gives it to peers.
+//! The configuration in force, and its exchange with peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,17 +14,19 @@
         &self.config
     }
 
-    /// Whether every live router was seen since the start, or had the time to be.
+    /// Whether as many routers were seen as the platform lists, or the router has been running for
+    /// `dead_after_ms`.
     pub(super) fn peers_seen(&self, now_ms: u64) -> bool {
         let seen = 1 + self.peers.iter().count();
-        let all_heard = !self.lacks_list() && seen >= self.peers.expected_routers();
+        let all_heard = !self.lacks_vm_list() && seen >= self.peers.expected_routers();
         all_heard || now_ms >= self.timing.dead_after_ms
     }
 
-    /// Where to fetch a newer configuration: at the peer that has the newest.
+    /// The address of the peer with the newest configuration, if that is newer than this router's.
     ///
-    /// A router that has none waits until it has seen its peers: one of them may have an old view.
-    pub(crate) fn newer_config_at(&self, now_ms: u64) -> Option<SocketAddr> {
+    /// A router without a configuration returns none until it has seen its peers, because a single
+    /// peer may have an outdated one.
+    pub(crate) fn newer_config_source(&self, now_ms: u64) -> Option<SocketAddr> {
         if self.config.version == 0 && !self.peers_seen(now_ms) {
             return None;
         }
@@ -34,18 +36,21 @@
         newer.then_some(newest.profile.peer_address)
     }
 
-    pub(super) fn whole_config(&self) -> PeerReply {
+    /// The whole configuration as a reply to a peer.
+    pub(super) fn full_config_reply(&self) -> PeerReply {
         match serde_json::to_string(self.config.as_ref()) {
             Ok(config_json) => PeerReply::Config(ConfigReply { config_json }),
             Err(_) => PeerReply::Rejected,
         }
     }
 
-    pub(super) fn config_since(&self, version: u64, change_id: &str) -> PeerReply {
+    /// The changes since a version as a reply to a peer; the whole configuration if they are no
+    /// longer known.
+    pub(super) fn config_changes_reply(&self, version: u64, change_id: &str) -> PeerReply {
         let changes = self.config.changes_since(version, change_id);
         match changes.and_then(|changes| serde_json::to_string(&changes).ok()) {
             Some(changes_json) => PeerReply::ConfigChanges(changes_json),
-            None => self.whole_config(),
+            None => self.full_config_reply(),
         }
     }
 }
--- a/crates/sapphiretrackd/src/control/endings.rs
+++ b/crates/sapphiretrackd/src/control/endings.rs
@@ -1,4 +1,5 @@
-//! Stewards that grant nothing any more: ended runs of peers, and this router's own resignation.
+//! Stewards that no longer grant slots: ended incarnations of peers, and this router once it has
+//! resigned.
 
 use std::net::SocketAddr;
 
@@ -9,9 +10,11 @@
 use crate::control::state::ledger_settings;
 
 impl ControlState {
-    /// Notes that nothing listens at a peer's address; `dialled` is the newest run of it that was
-    /// known when the connection was begun.
-    pub(crate) fn note_peer_refused(
+    /// Handles a refused connection to a peer.
+    ///
+    /// `dialled` is the newest incarnation of the peer that was known when the connection was
+    /// started. If a newer one is known by now, the refusal is ignored.
+    pub(crate) fn handle_peer_refusal(
         &mut self,
         router: RouterId,
         dialled: Incarnation,
@@ -21,25 +24,27 @@
         if dialled != newest {
             return;
         }
-        if self.endings.note_refused(router, dialled, newest) {
-            self.release(router);
+        if self.ended_runs.note_refused(router, dialled, newest) {
+            self.release_consents(router);
         }
         let change = self.peers.note_refused(router, now_ms);
-        self.note_peer_changes(change.as_slice());
+        self.handle_peer_changes(change.as_slice());
     }
 
-    /// Notes that nothing listens at a steward's address. Which run was asked is not known, so
-    /// that heartbeats try the address at once.
-    pub(crate) fn note_address_refused(&mut self, address: SocketAddr) {
+    /// Handles a refused connection to a steward of which only the address is known.
+    ///
+    /// Since the incarnation is unknown, heartbeats are sent at once to verify the refusal.
+    pub(crate) fn handle_address_refusal(&mut self, address: SocketAddr) {
         let mut peers = self.peers.iter();
         if peers.any(|(_, peer)| peer.profile.peer_address == address) {
             self.urgent_rounds = self.urgent_rounds.max(1);
         }
     }
 
-    /// Consent to a router's run that grants nothing any more need not run out.
-    pub(super) fn release(&mut self, router: RouterId) -> bool {
-        let changes = self.names.release(router);
+    /// Ends the consents to a router that no longer grants slots at once, instead of letting them
+    /// expire. Returns whether there were any to end.
+    pub(super) fn release_consents(&mut self, router: RouterId) -> bool {
+        let changes = self.consents.release(router);
         if changes {
             self.changed = true;
             self.urgent_rounds = URGENT_ROUNDS;
@@ -47,14 +52,15 @@
         changes
     }
 
-    /// From now on this router grants only what its peers consent to anew.
-    pub(super) fn forget_ledger(&mut self) {
+    /// Resets the ledger, so that this router grants slots only after its peers have consented
+    /// again.
+    pub(super) fn reset_ledger(&mut self) {
         self.ledger = Ledger::new(self.identity.id, ledger_settings(&self.timing));
-        self.book.distrust_earlier();
+        self.heartbeat_tracker.invalidate_earlier();
     }
 
-    /// Gives this router's stewardships up, once it is leaving and its successors know that.
-    pub(super) fn settle_resignation(&mut self) {
+    /// Resigns as steward once this router is leaving and all its successors know that it is.
+    pub(super) fn update_resignation(&mut self) {
         let is_own_successor = self.stewards.contains(&self.identity.id);
         if !is_own_successor && self.resignation.settle(&self.stewards) {
             self.changed = true;
--- a/crates/sapphiretrackd/src/control/handle.rs
+++ b/crates/sapphiretrackd/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! How other threads talk to the control thread.
+//! The interface of other threads to the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,92 +16,95 @@
 
 /// A message to the control thread.
 pub(crate) enum Command {
-    /// A call of a peer.
-    Peer {
-        /// The call.
+    /// A request from a peer.
+    PeerRequest {
+        /// The request.
         request: PeerRequest,
-        /// Where its reply goes.
+        /// Receives the reply.
         reply: oneshot::Sender<PeerReply>,
     },
-    /// A traffic thread wants a slot.
-    Begin {
-        /// Which.
-        wish: SlotWish,
-        /// Where the reply goes.
-        reply: oneshot::Sender<Begun>,
+    /// A traffic thread asks for a slot.
+    BeginReservation {
+        /// The server and the conditions.
+        request: SlotWish,
+        /// Receives the reply.
+        reply: oneshot::Sender<BegunReservation>,
     },
-    /// A peer granted a slot that this router asked for.
+    /// A peer granted a slot that this router had asked for.
     Granted {
         /// The reservation.
         reservation: ReservationId,
     },
-    /// A peer did not grant a slot that this router asked for; its end follows.
+    /// A peer did not grant a slot that this router had asked for. The reservation is ended by a
+    /// command that follows.
     Refused {
         /// The reservation.
         reservation: ReservationId,
-        /// Why.
+        /// The reason.
         refusal: SlotRefusal,
     },
-    /// A slot, or the wish for one, has ended.
+    /// A reservation has ended, whether it was granted or not.
     End {
         /// The reservation.
         reservation: ReservationId,
     },
-    /// The platform's list of VMs came.
+    /// The platform's list of VMs, read from the platform or a peer.
     VmList(VmList),
-    /// A call to the platform ended.
-    Platform {
-        /// Whether a reply came.
+    /// A call to the platform completed.
+    PlatformCall {
+        /// Whether the platform replied.
         reached: bool,
     },
-    /// A configuration came from the platform or an operator.
+    /// A configuration from the platform or an operator. If it comes into force, heartbeats
+    /// announce it at once.
     OfferConfig(Arc<FleetConfig>),
-    /// A load report came, or failed to.
-    Report {
+    /// The result of fetching a load report.
+    LoadReport {
         /// The server.
         server: ServerId,
-        /// The report.
+        /// The report; none if the call failed.
         report: Option<LoadReport>,
     },
     /// A peer answered a heartbeat.
-    PeerAnswered {
-        /// The peer; none for an address of the settings.
+    HeartbeatAnswered {
+        /// The peer; none for a seed address whose router is not known yet.
         router: Option<RouterId>,
-        /// Where it was called.
+        /// The address that was called.
         address: SocketAddr,
-        /// The heartbeat's sequence number.
+        /// The sequence number of the heartbeat.
         sequence: u64,
-        /// Its answer.
-        answer: HeartbeatReply,
+        /// The reply.
+        reply: HeartbeatReply,
     },
     /// The planned stop begins.
     Stop,
-    /// A configuration came from a peer, which tells the others by itself.
+    /// A configuration from a peer. This router does not announce it at once, since that peer
+    /// informs the others.
     PeerConfig(Arc<FleetConfig>),
-    /// A traffic thread asks for a part of a customer's budget.
+    /// A traffic thread asks for budget of a customer.
     LeaseBudget {
-        /// The question.
+        /// The amounts that the router holds and asks for.
         ask: BudgetAsk,
-        /// Where the reply goes.
+        /// Receives the reply.
         reply: oneshot::Sender<BudgetPlace>,
     },
-    /// Nothing listens at a peer's address.
-    PeerRefused {
+    /// A peer's address refused a connection.
+    PeerConnectionRefused {
         /// The peer.
         router: RouterId,
-        /// The newest run of it that was known when the connection was begun.
+        /// Its newest incarnation that was known when the connection was started.
         incarnation: Incarnation,
     },
-    /// Nothing listens at the address of a steward.
+    /// A steward's address refused a connection.
     AddressRefused {
-        /// Its peers' address.
+        /// The address at which the steward serves peers.
         address: SocketAddr,
     },
-    /// A request met a server that says that it is leaving.
+    /// A server refused a request because it is leaving.
     ServerLeaving {
         /// The server.
         server: ServerId,
-        /// The incarnation to which the request was sent.
+        /// The incarnation that the request was sent to.
         incarnation: Incarnation,
     },
 }
@@ -109,81 +112,83 @@
 /// Why a peer did not grant a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SlotRefusal {
-    /// The server has no room.
+    /// The server is at its load bound; with the counts of its steward.
     Full(FullServer),
-    /// The peer does not count the server's slots.
+    /// The peer is not the server's steward, or cannot grant yet.
     NotSteward,
-    /// The peer did not answer.
+    /// The peer did not reply.
     Silent,
-    /// The peer is of an earlier release, which gives no counts and cannot be asked again.
+    /// A refusal without counts, as from a peer of an earlier release. Without them the peer cannot
+    /// be asked again.
     Unexplained,
 }
 
-/// A slot that a traffic thread wants.
+/// A slot that a traffic thread asks for.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotWish {
-    /// On which server.
+    /// The server.
     pub(crate) server: ServerId,
-    /// The part of the bound that the class may fill.
+    /// The fraction of the load bound that the request's class may use.
     pub(crate) bound_share: f64,
-    /// Prompt tokens that the server is expected to compute.
+    /// Prompt tokens that the server does not have cached and is expected to compute.
     pub(crate) uncached_tokens: u32,
-    /// The server's steward refused for want of room: it is asked again if this router now knows
-    /// of a load that leaves room.
+    /// The counts of the steward that refused this slot before. The steward is asked again only if
+    /// the load that this router knows by now leaves capacity.
     pub(crate) refusal: Option<FullServer>,
 }
 
-/// The control thread's part of a reservation.
+/// A reservation that the control thread has started.
 #[derive(Debug)]
-pub(crate) struct Begun {
-    /// The reservation's id.
+pub(crate) struct BegunReservation {
+    /// The id.
     pub(crate) reservation: ReservationId,
-    /// Where the slot is decided.
+    /// Who decides on the slot.
     pub(crate) place: Place,
-    /// This router's requests in flight on the server's pool, for the steward.
+    /// This router's requests in flight on the server's pool, which the steward needs.
     pub(crate) in_flight: u16,
-    /// The pool's load, for a steward that is asked again.
+    /// The pool's load, sent to a steward that is asked again.
     pub(crate) told: Option<ToldLoad>,
 }
 
-/// Where a slot is decided.
+/// Who decides on a slot.
 #[derive(Debug)]
 pub(crate) enum Place {
-    /// Here: this router is the server's steward.
+    /// This router, as the server's steward; with its decision.
     Here(Grant),
-    /// At the server's steward.
+    /// The peer that is the server's steward, at this address.
     Peer(SocketAddr),
-    /// Nowhere: no steward is known.
+    /// Nobody: no steward is known, or asking it is not expected to help.
     Nowhere,
 }
 
-/// Where a customer's budget is kept.
+/// Who keeps a customer's budget.
 #[derive(Debug)]
 pub(crate) enum BudgetPlace {
-    /// Here: this router is the customer's steward.
+    /// This router, as the customer's steward; with its answer.
     Here(BudgetReply),
-    /// At the customer's steward, which has to be asked.
+    /// A peer, which has to be asked.
     Peer {
         /// The steward.
         steward: RouterId,
-        /// Where it is reached.
+        /// The address at which it serves peers.
         address: SocketAddr,
-        /// The question.
+        /// The amounts that the router holds and asks for.
         ask: BudgetAsk,
     },
 }
 
-/// Where the control thread takes its messages from.
+/// The receiving end of the control thread's command channel.
 pub(crate) type CommandReceiver = mpsc::UnboundedReceiver<Command>;
 
-/// A handle before its control thread runs; until then it shows an empty snapshot.
+/// Creates the command channel of a control thread that is started later. Until its first snapshot
+/// the handle returns an empty one.
 pub(crate) fn control_channel(me: RouterId) -> (ControlHandle, CommandReceiver) {
     let (commands, receiver) = mpsc::unbounded_channel();
     let snapshot = Arc::new(ArcSwap::from_pointee(Snapshot::empty(me)));
     (ControlHandle { commands, snapshot }, receiver)
 }
 
-/// Talks to the control thread and reads its snapshots.
+/// Sends commands to the control thread and reads its snapshots.
 #[derive(Clone)]
 pub(crate) struct ControlHandle {
     pub(crate) commands: mpsc::UnboundedSender<Command>,
@@ -191,34 +196,34 @@
 }
 
 impl ControlHandle {
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub(crate) fn snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
-    /// Sends a command; when the control thread has ended there is nothing left to decide.
+    /// Sends a command. It is dropped if the control thread has ended.
     pub(crate) fn send(&self, command: Command) {
         drop(self.commands.send(command));
     }
 
-    /// Asks for a slot; none if the control thread has ended.
-    pub(crate) async fn begin(&self, wish: SlotWish) -> Option<Begun> {
+    /// Starts a reservation; none if the control thread has ended.
+    pub(crate) async fn begin(&self, request: SlotWish) -> Option<BegunReservation> {
         let (reply, receiver) = oneshot::channel();
-        self.send(Command::Begin { wish, reply });
+        self.send(Command::BeginReservation { request, reply });
         receiver.await.ok()
     }
 
-    /// Asks for a part of a customer's budget; none if the control thread has ended.
+    /// Asks for budget of a customer; none if the control thread has ended.
     pub(crate) async fn lease_budget(&self, ask: BudgetAsk) -> Option<BudgetPlace> {
         let (reply, receiver) = oneshot::channel();
         self.send(Command::LeaseBudget { ask, reply });
         receiver.await.ok()
     }
 
-    /// Runs a call of a peer.
+    /// Handles a request from a peer; rejects it if the control thread has ended.
     pub(crate) async fn peer(&self, request: PeerRequest) -> PeerReply {
         let (reply, receiver) = oneshot::channel();
-        self.send(Command::Peer { request, reply });
+        self.send(Command::PeerRequest { request, reply });
         receiver.await.unwrap_or(PeerReply::Rejected)
     }
 }
--- a/crates/sapphiretrackd/src/control/heartbeats.rs
+++ b/crates/sapphiretrackd/src/control/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what this router tells each peer, and what it takes from theirs.
+//! Heartbeats to peers and from peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,67 +11,73 @@
 
 use crate::control::ControlState;
 
-/// Rounds of heartbeats after a change. What a peer holds counts only once the new steward knows
-/// that it is one, which may be just after the first round.
+/// How many rounds of heartbeats are sent at once after a change. One is not enough: the slots that
+/// a peer holds count only once the new steward knows that it is the steward, which may be just
+/// after the first round.
 pub(super) const URGENT_ROUNDS: u8 = 3;
 
 /// Requests in flight by server.
 type Counts = BTreeMap<ServerId, u16>;
 
-/// A heartbeat on its way out.
-pub(crate) struct Outgoing {
-    /// The peer; none for an address of the settings whose router is not known yet.
+/// A heartbeat to send.
+pub(crate) struct OutgoingHeartbeat {
+    /// The peer; none for a seed address whose router is not known yet.
     pub(crate) router: Option<RouterId>,
-    /// The newest run of it that is known now; 0 for none.
+    /// Its newest known incarnation; 0 for none.
     pub(crate) incarnation: Incarnation,
+    /// Where to send it.
     pub(crate) address: SocketAddr,
+    /// The heartbeat.
     pub(crate) heartbeat: Heartbeat,
 }
 
-/// What was sent to and seen each peer, so that only changes travel.
-pub(super) struct HeartbeatBook {
+/// What was sent to and received from each peer, so that heartbeats carry only changed counts.
+pub(super) struct HeartbeatTracker {
     sequence: u64,
-    /// Heartbeats that had not seen this sequence number say nothing about slots: they may
-    /// be of the time before a restart or a pause.
-    trusted_from: u64,
-    sent: BTreeMap<RouterId, Sent>,
+    /// The slots in a heartbeat are ignored if its sender had not seen this sequence number: they
+    /// may date from before a restart or a pause.
+    valid_from: u64,
+    sent: BTreeMap<RouterId, SentHeartbeat>,
+    /// The requests in flight that each peer reported.
     pub(super) in_flight: BTreeMap<RouterId, Counts>,
-    /// The digest of the list of VMs that each peer has.
-    digests: BTreeMap<RouterId, u64>,
+    /// The digest of each peer's list of VMs.
+    list_digests: BTreeMap<RouterId, u64>,
 }
 
-/// The last heartbeat to a peer.
+/// The last heartbeat sent to a peer.
 #[derive(Default)]
-struct Sent {
+struct SentHeartbeat {
     sequence: u64,
     answered: bool,
     knows_profile: bool,
     counts: Counts,
 }
 
-impl HeartbeatBook {
-    /// A book whose sequence numbers rise over restarts, as incarnations do.
+impl HeartbeatTracker {
+    /// Starts the sequence numbers at the incarnation, so that they increase across restarts.
     pub(super) fn new(incarnation: Incarnation) -> Self {
         Self {
             sequence: incarnation,
-            trusted_from: incarnation + 1,
+            valid_from: incarnation + 1,
             sent: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            digests: BTreeMap::new(),
+            list_digests: BTreeMap::new(),
         }
     }
 
-    /// From now on only heartbeats of those that saw a later one of ours count.
-    pub(super) fn distrust_earlier(&mut self) {
-        self.trusted_from = self.sequence + 1;
+    /// Ignores the slots in heartbeats until their senders have seen a later heartbeat of this
+    /// router.
+    pub(super) fn invalidate_earlier(&mut self) {
+        self.valid_from = self.sequence + 1;
     }
 
-    /// The counts for a peer: only what changed, if it answered the heartbeat before.
-    fn counts_for(&mut self, router: RouterId, counts: &Counts) -> (InFlight, bool) {
+    /// The counts to send to a peer, and whether it knows this router's profile. Only changes are
+    /// sent if the peer answered the previous heartbeat.
+    fn in_flight_for(&mut self, router: RouterId, counts: &Counts) -> (InFlight, bool) {
         let sent = self.sent.entry(router).or_default();
         let whole = !sent.answered;
         let knows_profile = sent.knows_profile;
-        let counts_told = if whole {
+        let counts_to_send = if whole {
             counts
                 .iter()
                 .map(|(server, count)| (*server, *count))
@@ -79,7 +85,7 @@
         } else {
             changed_counts(&sent.counts, counts)
         };
-        *sent = Sent {
+        *sent = SentHeartbeat {
             sequence: self.sequence,
             answered: false,
             knows_profile,
@@ -87,17 +93,18 @@
         };
         let in_flight = InFlight {
             whole,
-            counts: counts_told,
+            counts: counts_to_send,
         };
         (in_flight, knows_profile)
     }
 
-    fn take_counts(&mut self, router: RouterId, told: &InFlight) {
+    /// Updates the counts of a peer with those of its heartbeat.
+    fn merge_counts(&mut self, router: RouterId, received: &InFlight) {
         let known = self.in_flight.entry(router).or_default();
-        if told.whole {
+        if received.whole {
             known.clear();
         }
-        for (server, count) in &told.counts {
+        for (server, count) in &received.counts {
             if *count == 0 {
                 known.remove(server);
             } else {
@@ -107,6 +114,7 @@
     }
 }
 
+/// The counts that differ; servers that are no longer counted get 0.
 fn changed_counts(before: &Counts, now: &Counts) -> Vec<(ServerId, u16)> {
     let ended = before
         .keys()
@@ -120,27 +128,29 @@
 }
 
 impl ControlState {
-    /// The heartbeat for each peer, with where it goes.
-    pub(crate) fn heartbeats(&mut self, now_ms: u64) -> Vec<Outgoing> {
-        self.book.sequence += 1;
+    /// Starts a round: the next heartbeat for each peer. While no peer is seen, the seed addresses
+    /// get one as well.
+    pub(crate) fn next_heartbeats(&mut self, now_ms: u64) -> Vec<OutgoingHeartbeat> {
+        self.heartbeat_tracker.sequence += 1;
         if self.own_state() == VmState::Leaving {
-            self.resignation.note_leaving(self.book.sequence);
+            self.resignation
+                .note_leaving(self.heartbeat_tracker.sequence);
         }
         let targets = self.peers.targets();
         let sightings = self.own_sightings(now_ms);
-        let counts = self.own_counts();
+        let counts = self.own_in_flight_counts();
         let mut outgoing = Vec::with_capacity(targets.len());
         for (router, address) in targets {
-            let (in_flight, knows_profile) = self.book.counts_for(router, &counts);
-            let mut heartbeat = self.heartbeat(&sightings, now_ms);
+            let (in_flight, knows_profile) = self.heartbeat_tracker.in_flight_for(router, &counts);
+            let mut heartbeat = self.base_heartbeat(&sightings, now_ms);
             heartbeat.in_flight = in_flight;
-            self.names.note_sent(router, now_ms);
-            heartbeat.held = self.held_for(router);
+            self.consents.note_sent(router, now_ms);
+            heartbeat.held = self.held_slots_for(router);
             heartbeat.seen_sequence = self.peers.seen_sequence(router);
             if !knows_profile {
                 heartbeat.profile = Some(Box::new(self.identity.profile.clone()));
             }
-            outgoing.push(Outgoing {
+            outgoing.push(OutgoingHeartbeat {
                 router: Some(router),
                 incarnation: self.peers.known_incarnation(router),
                 address,
@@ -153,8 +163,8 @@
         outgoing
     }
 
-    /// Takes in a heartbeat.
-    pub(super) fn take_heartbeat(&mut self, heartbeat: Heartbeat, now_ms: u64) -> HeartbeatReply {
+    /// Handles a heartbeat of a peer.
+    pub(super) fn handle_heartbeat(&mut self, heartbeat: Heartbeat, now_ms: u64) -> HeartbeatReply {
         let router = heartbeat.router;
         let summary = PeerHeartbeat {
             router,
@@ -169,19 +179,20 @@
         let version_before = self.peers.get(router).map(|peer| peer.config_version);
         let taken = self.peers.take_heartbeat(&summary, now_ms);
         if let HeartbeatTaken::Taken { change } = &taken {
-            self.note_peer_changes(change.as_slice());
-            self.endings.note_seen(router, heartbeat.incarnation);
+            self.handle_peer_changes(change.as_slice());
+            self.ended_runs.note_seen(router, heartbeat.incarnation);
             self.resignation.note_seen(router, heartbeat.seen_sequence);
             let is_other_run = heartbeat.incarnation != run_before;
-            let grants_no_more = heartbeat.has_resigned() || is_other_run;
-            let is_released = grants_no_more && self.release(router);
-            if change.is_some() || is_released {
-                // A heartbeat that makes this router a steward says what its sender holds there.
+            let has_stopped_granting = heartbeat.has_resigned() || is_other_run;
+            let has_released = has_stopped_granting && self.release_consents(router);
+            if change.is_some() || has_released {
+                // Before the held slots are read: this change may make this router steward of the
+                // servers that they belong to.
                 self.tick(now_ms);
             }
             self.changed |= version_before != Some(heartbeat.config_version);
-            self.asks.note_seen(router);
-            self.note_reported_loads(&heartbeat, now_ms);
+            self.ask_memory.note_seen(router);
+            self.apply_heartbeat(&heartbeat, now_ms);
         }
         HeartbeatReply {
             config_version: self.config.version,
@@ -195,49 +206,58 @@
         }
     }
 
-    /// Takes in the answer to a heartbeat.
-    pub(crate) fn take_answer(
+    /// Handles the reply of a known peer to a heartbeat.
+    pub(crate) fn handle_heartbeat_reply(
         &mut self,
         router: RouterId,
         sequence: u64,
         reply: &HeartbeatReply,
         now_ms: u64,
     ) {
-        // Without a new snapshot the status would tell the older version until something else changes.
+        // Without a new snapshot the status would show the old version until another change.
         self.changed |= self.peers.note_answer(router, reply.config_version, now_ms);
         self.peers.introduce(&reply.introduced);
-        if let Some(sent) = self.book.sent.get_mut(&router) {
+        if let Some(sent) = self.heartbeat_tracker.sent.get_mut(&router) {
             if reply.wants_whole {
-                *sent = Sent::default();
+                *sent = SentHeartbeat::default();
             } else if sent.sequence == sequence {
                 sent.answered = true;
                 sent.knows_profile = true;
             }
         }
         if reply.known_incarnation > self.identity.incarnation {
-            // This VM's clock was set back: peers take its heartbeats only as a later run's.
+            // This VM's clock was set back since its last start. Peers accept its heartbeats only
+            // under a higher incarnation.
             self.identity.incarnation = reply.known_incarnation + 1;
-            self.book.sequence = self.book.sequence.max(self.identity.incarnation);
-            // Peers that saw this run take the end of its earlier number for its own end.
-            self.forget_ledger();
+            self.heartbeat_tracker.sequence = self
+                .heartbeat_tracker
+                .sequence
+                .max(self.identity.incarnation);
+            // Peers that saw the old incarnation take the change for a restart of this router.
+            self.reset_ledger();
             self.urgent_rounds = URGENT_ROUNDS;
         }
     }
 
-    /// Takes in whom a router at an address of the settings knows.
-    pub(crate) fn introduce(&mut self, reply: &HeartbeatReply) {
+    /// Adds the peers that a router at a seed address knows.
+    pub(crate) fn add_introduced_peers(&mut self, reply: &HeartbeatReply) {
         self.peers.introduce(&reply.introduced);
     }
 
-    /// Whether a peer has another list of VMs than this router.
-    pub(crate) fn lists_differ(&self) -> bool {
+    /// Whether the list of VMs of any peer differs from this router's.
+    pub(crate) fn vm_lists_differ(&self) -> bool {
         self.peers.iter().any(|(router, _)| {
-            let digest = self.book.digests.get(&router).copied().unwrap_or(0);
+            let digest = self
+                .heartbeat_tracker
+                .list_digests
+                .get(&router)
+                .copied()
+                .unwrap_or(0);
             digest != 0 && digest != self.list_digest
         })
     }
 
-    /// Where the peers other than `router` are reached.
+    /// The addresses of all peers except `router`.
     fn introductions(&self, router: RouterId) -> Vec<(RouterId, SocketAddr)> {
         let others = self.peers.iter().filter(|(peer, _)| *peer != router);
         others
@@ -245,30 +265,34 @@
             .collect()
     }
 
-    fn note_reported_loads(&mut self, heartbeat: &Heartbeat, now_ms: u64) {
+    /// Applies the slots, loads and signals of a heartbeat that was accepted.
+    fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now_ms: u64) {
         let router = heartbeat.router;
-        if heartbeat.seen_sequence >= self.book.trusted_from {
+        if heartbeat.seen_sequence >= self.heartbeat_tracker.valid_from {
             self.ledger.reconcile(router, &heartbeat.held, now_ms);
         }
         let in_flight = &heartbeat.in_flight;
         self.changed |= in_flight.whole || !in_flight.counts.is_empty();
-        self.book.take_counts(router, in_flight);
-        self.note_peer_loads(router, now_ms);
-        self.book.digests.insert(router, heartbeat.list_digest);
+        self.heartbeat_tracker.merge_counts(router, in_flight);
+        self.record_peer_loads(router, now_ms);
+        self.heartbeat_tracker
+            .list_digests
+            .insert(router, heartbeat.list_digest);
         for state in &heartbeat.servers {
-            let before = self.seen_of(state.server, now_ms);
+            let before = self.visible_server_state(state.server, now_ms);
             let sighting = ServerSighting {
                 server: state.server,
                 state: state.state,
                 reachable: state.reachable,
                 report: state.report,
             };
-            self.note_reported(state.server, now_ms);
+            self.record_report_time(state.server, now_ms);
             let change = self.servers.take_sighting(&sighting, now_ms);
-            self.note_server_changes(change.as_slice());
-            self.changed |= self.seen_of(state.server, now_ms) != before;
+            self.handle_server_changes(change.as_slice());
+            self.changed |= self.visible_server_state(state.server, now_ms) != before;
         }
-        // Heartbeats at once: whoever is gone refuses the connection.
+        // Heartbeats are sent at once to verify suspects: a router that has ended refuses the
+        // connection.
         self.urgent_rounds = self.urgent_rounds.max(u8::from(
             heartbeat
                 .suspects
@@ -276,15 +300,16 @@
                 .any(|suspect| self.peers.get(*suspect).is_some()),
         ));
         for (server, incarnation) in &heartbeat.left_servers {
-            self.note_server_leaving(*server, *incarnation, now_ms);
+            self.mark_server_leaving(*server, *incarnation, now_ms);
         }
     }
 
-    fn heartbeat(&self, sightings: &[ServerState], now_ms: u64) -> Heartbeat {
+    /// The fields of a heartbeat that are the same for all receivers.
+    fn base_heartbeat(&self, sightings: &[ServerState], now_ms: u64) -> Heartbeat {
         Heartbeat {
             router: self.identity.id,
             incarnation: self.identity.incarnation,
-            sequence: self.book.sequence,
+            sequence: self.heartbeat_tracker.sequence,
             seen_sequence: 0,
             state: self.own_state(),
             config_version: self.config.version,
@@ -304,14 +329,14 @@
         has_resigned.then(Section::resigned).into_iter().collect()
     }
 
-    /// Heartbeats to the addresses of the settings; their answers bring the first peers.
-    fn seed_heartbeats(&self, sightings: &[ServerState], now_ms: u64) -> Vec<Outgoing> {
+    /// Heartbeats to the seed addresses, whose replies introduce the first peers.
+    fn seed_heartbeats(&self, sightings: &[ServerState], now_ms: u64) -> Vec<OutgoingHeartbeat> {
         let seeds = self.seeds().iter();
         let heartbeats = seeds.map(|address| {
-            let mut heartbeat = self.heartbeat(sightings, now_ms);
+            let mut heartbeat = self.base_heartbeat(sightings, now_ms);
             heartbeat.profile = Some(Box::new(self.identity.profile.clone()));
             heartbeat.in_flight.whole = true;
-            Outgoing {
+            OutgoingHeartbeat {
                 router: None,
                 incarnation: 0,
                 address: *address,
@@ -321,8 +346,9 @@
         heartbeats.collect()
     }
 
+    /// The state of the servers that this router is steward of.
     fn own_sightings(&self, now_ms: u64) -> Vec<ServerState> {
-        self.stewarded()
+        self.stewarded_servers()
             .into_iter()
             .filter_map(|server| self.servers.sighting(server, now_ms))
             .map(|sighting| ServerState {
@@ -334,25 +360,27 @@
             .collect()
     }
 
-    fn own_counts(&self) -> Counts {
+    /// This router's requests in flight by server, granted slots only.
+    fn own_in_flight_counts(&self) -> Counts {
         let mut counts = Counts::new();
-        for held in self.held.values().filter(|held| held.is_granted) {
+        for held in self.held_slots.values().filter(|held| held.is_granted) {
             let count = counts.entry(held.server).or_default();
             *count = count.saturating_add(1);
         }
         counts
     }
 
-    /// What this router holds on the servers that it believes a router to be steward of.
-    pub(super) fn held_for(&self, router: RouterId) -> HeldSlots {
+    /// The slots that this router holds or has asked for on the servers whose steward it consents
+    /// to be `router`. Listing a server, even without slots, conveys that consent.
+    pub(super) fn held_slots_for(&self, router: RouterId) -> HeldSlots {
         let mut by_server: BTreeMap<ServerId, Vec<ReservationId>> = self
             .servers
             .iter()
             .map(|(server, _)| server)
-            .filter(|server| self.names.consent(*server) == Some(router))
+            .filter(|server| self.consents.consent(*server) == Some(router))
             .map(|server| (server, Vec::new()))
             .collect();
-        for (reservation, held) in &self.held {
+        for (reservation, held) in &self.held_slots {
             if let Some(reservations) = by_server.get_mut(&held.server) {
                 reservations.push(*reservation);
             }
--- a/crates/sapphiretrackd/src/control/mod.rs
+++ b/crates/sapphiretrackd/src/control/mod.rs
@@ -1,7 +1,13 @@
-//! The control thread: the only writer of control state.
+//! The control thread, the only writer of control state.
 //!
-//! It runs one loop on a thread of its own. Everything that waits (the platform, peers, load
-//! reports) runs in tasks beside the loop and comes back as a [`Command`].
+//! It runs a single loop on its own thread. Everything that waits (calls to the platform, to peers
+//! and for load reports) runs in separate tasks, which send their results back as a [`Command`].
+//!
+//! The steward of a server is the router that counts and grants the server's slots. The steward of
+//! a customer is the router that keeps the customer's rate and in-flight budgets. Each router
+//! derives both by rendezvous hashing over the routers that may be stewards. To grant slots, a
+//! steward also needs the consent of most routers of the cell. Heartbeats carry this consent, and
+//! it expires.
 
 mod budgets;
 mod configuration;
@@ -21,7 +27,7 @@
     BudgetPlace, Command, CommandReceiver, ControlHandle, Place, SlotRefusal, SlotWish,
     control_channel,
 };
-pub(crate) use orders::OrderKeeper;
+pub(crate) use orders::EngineReconciler;
 pub(crate) use snapshot::Snapshot;
 pub(crate) use state::{ControlState, Identity, Timing};
 pub(crate) use thread::{ControlParts, run_control};
--- a/crates/sapphiretrackd/src/control/orders.rs
+++ b/crates/sapphiretrackd/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: one router of the cell holds the lease and brings engines to their goals.
+//! Reconciles engines with their goals, on the one router of the cell that holds the lease.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,31 +19,32 @@
 
 /// The lease's name.
 const LEASE_NAME: &str = "engine-orders";
-/// How often the lease is looked at and engines are compared with their goals.
-const ROUND: Duration = Duration::from_millis(1_000);
-/// How often the holder reads the goals.
+/// How often the lease is checked and engines are compared with their goals.
+const ROUND_PERIOD: Duration = Duration::from_millis(1_000);
+/// How often the holder of the lease reads the goals.
 const GOALS_PERIOD_MS: u64 = 2_000;
-/// The weight store serves one fetch in this time, and two at once.
+/// The weight store serves one fetch per this period.
 const WEIGHT_FETCH_EVERY_MS: u64 = 2_000;
+/// How many fetches the weight store serves at once.
 const WEIGHT_FETCH_BURST: u64 = 2;
 
-/// What gives orders.
-pub(crate) struct OrderKeeper {
+/// Sends orders to engines whose state differs from their goal, while it holds the lease.
+pub(crate) struct EngineReconciler {
     clock: Clock,
     control: ControlHandle,
-    lease: LeaseStore,
+    lease_store: LeaseStore,
     goal_store: GoalStore,
     engines: OrderClient,
-    keeper: LeaseKeeper,
+    lease_keeper: LeaseKeeper,
     goals: EngineGoals,
     goals_read_ms: Option<u64>,
     weights: WeightBudget,
-    /// The number that is held, and since when.
-    taken: Option<(Fencing, u64)>,
+    /// The fencing number of the held lease, and when it was acquired.
+    acquired: Option<(Fencing, u64)>,
 }
 
-impl OrderKeeper {
-    /// A keeper that holds nothing yet.
+impl EngineReconciler {
+    /// Creates a reconciler that does not hold the lease.
     pub(crate) fn new(
         clock: Clock,
         control: ControlHandle,
@@ -54,60 +55,64 @@
         Self {
             clock,
             control,
-            lease: LeaseStore::new(platform.clone(), LEASE_NAME),
+            lease_store: LeaseStore::new(platform.clone(), LEASE_NAME),
             goal_store: GoalStore::new(platform.clone()),
             engines: OrderClient::default(),
-            keeper: LeaseKeeper::new(me, incarnation, LeaseTerms::default()),
+            lease_keeper: LeaseKeeper::new(me, incarnation, LeaseTerms::default()),
             goals: EngineGoals::default(),
             goals_read_ms: None,
             weights: WeightBudget::new(WEIGHT_FETCH_EVERY_MS, WEIGHT_FETCH_BURST, 0),
-            taken: None,
+            acquired: None,
         }
     }
 
-    /// Runs until the planned stop.
+    /// Runs until the planned stop, which releases the lease.
     pub(crate) async fn run(mut self) {
         loop {
-            tokio::time::sleep(ROUND).await;
+            tokio::time::sleep(ROUND_PERIOD).await;
             let snapshot = self.control.snapshot();
             if snapshot.stopping || !is_contender(&snapshot) {
-                self.give_back().await;
+                self.release_lease().await;
                 if snapshot.stopping {
                     return;
                 }
                 continue;
             }
-            // A platform that is down costs the lease, never an order without one.
-            if self.step_lease().await.is_err() || self.fencing().is_none() {
+            // While the platform is down the lease may be lost; no order is sent without it.
+            if self.maintain_lease().await.is_err() || self.fencing().is_none() {
                 continue;
             }
-            self.read_goals().await;
+            self.refresh_goals().await;
             self.reconcile(&snapshot).await;
         }
     }
 
-    /// The fencing number, if the lease holds right now.
+    /// The fencing number, if the lease is valid now.
     fn fencing(&self) -> Option<Fencing> {
-        self.keeper.fencing(self.clock.now_ms())
+        self.lease_keeper.fencing(self.clock.now_ms())
     }
 
-    async fn step_lease(&mut self) -> Result<(), PlatformError> {
-        if !self.keeper.is_due(self.clock.now_ms()) {
+    /// Acquires or renews the lease if that is due.
+    async fn maintain_lease(&mut self) -> Result<(), PlatformError> {
+        if !self.lease_keeper.is_due(self.clock.now_ms()) {
             return Ok(());
         }
-        let stored = self.lease.read().await?;
-        let asked_ms = self.clock.now_ms();
+        let stored = self.lease_store.read().await?;
+        let requested_ms = self.clock.now_ms();
         let step = self
-            .keeper
-            .decide(stored.row.as_ref(), rand::random(), asked_ms);
+            .lease_keeper
+            .decide(stored.row.as_ref(), rand::random(), requested_ms);
         let LeaseStep::Write(row) = step else {
             return Ok(());
         };
-        if self.lease.write(&stored, &row).await? == LeaseWritten::Ours {
-            self.keeper.note_written(&row, asked_ms);
-            if self.taken.is_none_or(|(fencing, _)| fencing != row.fencing) {
+        if self.lease_store.write(&stored, &row).await? == LeaseWritten::Ours {
+            self.lease_keeper.note_written(&row, requested_ms);
+            if self
+                .acquired
+                .is_none_or(|(fencing, _)| fencing != row.fencing)
+            {
                 let now_ms = self.clock.now_ms();
-                self.taken = Some((row.fencing, now_ms));
+                self.acquired = Some((row.fencing, now_ms));
                 self.weights = WeightBudget::new(WEIGHT_FETCH_EVERY_MS, WEIGHT_FETCH_BURST, now_ms);
                 Event::LEASE_TAKEN.log(&[("fencing", &row.fencing.to_string())]);
             }
@@ -115,20 +120,22 @@
         Ok(())
     }
 
-    async fn give_back(&mut self) {
-        let Some(row) = self.keeper.release(rand::random()) else {
+    /// Releases the lease if this router holds it.
+    async fn release_lease(&mut self) {
+        let Some(row) = self.lease_keeper.release(rand::random()) else {
             return;
         };
-        self.taken = None;
-        if let Ok(stored) = self.lease.read().await
+        self.acquired = None;
+        if let Ok(stored) = self.lease_store.read().await
             && stored.row.is_some_and(|now| now.fencing == row.fencing)
         {
-            // If this is lost the successor waits the lease out.
-            drop(self.lease.write(&stored, &row).await);
+            // If this write fails, the successor waits until the lease expires.
+            drop(self.lease_store.write(&stored, &row).await);
         }
     }
 
-    async fn read_goals(&mut self) {
+    /// Reads the goals unless the last read is recent.
+    async fn refresh_goals(&mut self) {
         let now_ms = self.clock.now_ms();
         let fresh = self
             .goals_read_ms
@@ -142,6 +149,7 @@
         }
     }
 
+    /// Reconciles each listed engine that has a goal.
     async fn reconcile(&mut self, snapshot: &Snapshot) {
         for (name, goal) in self.goals.goals.clone() {
             let id = ServerId::from_name(&name);
@@ -153,35 +161,43 @@
                 continue;
             };
             let check = self.goals.checks.get(pool).copied().unwrap_or_default();
-            if self.step_lease().await.is_err() {
+            if self.maintain_lease().await.is_err() {
                 return;
             }
-            self.bring_to_goal(server, &goal, check).await;
+            self.reconcile_engine(server, &goal, check).await;
         }
     }
 
-    async fn bring_to_goal(&mut self, server: &ServerView, goal: &EngineGoal, check: FencingCheck) {
-        let Some((_, taken_ms)) = self.taken else {
+    /// Sends an engine the order that its goal requires, if any. After acquiring the lease, no
+    /// order is sent before `first_order_ms`.
+    async fn reconcile_engine(
+        &mut self,
+        server: &ServerView,
+        goal: &EngineGoal,
+        check: FencingCheck,
+    ) {
+        let Some((_, acquired_ms)) = self.acquired else {
             return;
         };
         let Ok(state) = self.engines.state(server.address).await else {
             return;
         };
         let now_ms = self.clock.now_ms();
-        if now_ms < first_order_ms(check, self.keeper.terms(), taken_ms) {
+        if now_ms < first_order_ms(check, self.lease_keeper.terms(), acquired_ms) {
             return;
         }
-        // Right before the order: a pause up to here costs the order, not the lease's promise.
+        // Checked right before the order, so that none is sent after a pause in which the lease
+        // expired.
         let Some(fencing) = self.fencing() else {
             return;
         };
         let Some(order) = next_order(goal, &state, fencing, &mut self.weights, now_ms) else {
             return;
         };
-        self.send(server.address, &server.name, &order).await;
+        self.send_order(server.address, &server.name, &order).await;
     }
 
-    async fn send(&self, address: SocketAddr, name: &str, order: &EngineOrder) {
+    async fn send_order(&self, address: SocketAddr, name: &str, order: &EngineOrder) {
         let fencing = order.fencing.to_string();
         match self.engines.order(address, order).await {
             Ok(OrderTaken::Taken) => {
@@ -190,7 +206,7 @@
             Ok(OrderTaken::Refused) => {
                 Event::ORDER_REFUSED.log(&[("server", name), ("fencing", &fencing)]);
             }
-            // What came of it is read from the engine in the next round.
+            // The engine's state in the next round shows whether it took the order.
             Err(error) => Event::ORDER_LOST.log(&[
                 ("server", name),
                 ("fencing", &fencing),
@@ -200,8 +216,8 @@
     }
 }
 
-/// Whether this router is the one of its cell that asks for the lease, so that the others need
-/// not read the row. If views differ for a while, the row decides.
+/// Whether this router is the one of its cell that competes for the lease, so that the others need
+/// not read the row. If routers disagree for a while, the row decides.
 fn is_contender(snapshot: &Snapshot) -> bool {
     let live: Vec<RouterId> = snapshot
         .routers
--- a/crates/sapphiretrackd/src/control/polling.rs
+++ b/crates/sapphiretrackd/src/control/polling.rs
@@ -1,4 +1,4 @@
-//! Tasks beside the control loop: they wait, and come back as commands.
+//! Tasks that poll the platform, peers and servers, and send the results as commands.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,28 +15,28 @@
 use crate::control::handle::{Command, ControlHandle};
 use crate::events::Event;
 
-/// How often one router of the cell reads the platform's list of VMs.
+/// How often the list of VMs is read from the platform, by one router of the cell at a time.
 const VM_LIST_PERIOD: Duration = Duration::from_millis(1_000);
-/// How often one router of the cell reads the configuration version.
+/// How often the configuration version is read, by one router of the cell at a time.
 const CONFIG_PERIOD: Duration = Duration::from_millis(1_000);
-/// How often a router that starts looks whether it has seen its peers.
-const PEERS_FIRST_POLL: Duration = Duration::from_millis(20);
-/// How often in a row the platform has to stand behind this router until that writes back what it
-/// holds; in between, a peer that holds more is seen.
+/// How often a starting router checks whether it has seen its peers.
+const PEERS_SEEN_POLL_PERIOD: Duration = Duration::from_millis(20);
+/// How many reads in a row have to show an older configuration on the platform before this router
+/// writes its own back. In the meantime it learns of a peer that holds a newer one.
 const REPUBLISH_AFTER_READS: u32 = 2;
 
-/// Reads the list of VMs again and again.
+/// Polls the platform's list of VMs.
 ///
-/// The routers of a cell share one read a second. `now` asks for a read because a peer has
-/// another list; even then a router reads once a period at most.
+/// The routers of a cell together make one read per second. `refresh` requests an earlier read
+/// because a peer has a different list; a router still reads at most once per period.
 pub(crate) async fn poll_vm_list(
     platform: PlatformClient,
     control: ControlHandle,
-    now: Arc<Notify>,
+    refresh: Arc<Notify>,
 ) {
     loop {
         let list = platform.vms().await;
-        control.send(Command::Platform {
+        control.send(Command::PlatformCall {
             reached: list.is_ok(),
         });
         if let Ok(list) = list {
@@ -46,12 +46,13 @@
         tokio::time::sleep(VM_LIST_PERIOD).await;
         tokio::select! {
             () = tokio::time::sleep(VM_LIST_PERIOD * (routers - 1)) => {}
-            () = now.notified() => {}
+            () = refresh.notified() => {}
         }
     }
 }
 
-/// Fetches the list of VMs from a peer, for a router that cannot reach the platform.
+/// Fetches the list of VMs from a peer, for a router that has none yet, as when it cannot
+/// reach the platform.
 pub(crate) async fn fetch_vm_list(peers: PeerClient, address: SocketAddr, control: ControlHandle) {
     let Ok(reply) = peers.fetch_vm_list(address).await else {
         return;
@@ -61,10 +62,10 @@
     }
 }
 
-/// Reads the configuration version again and again, and the configuration when it is newer.
+/// Polls the configuration version, and reads the configuration when there is a newer one.
 ///
-/// The routers of a cell share one read a second: each waits as many periods as there are
-/// routers. What one finds, the others learn by heartbeat.
+/// The routers of a cell together make one read per second: each waits as many periods as there
+/// are live routers. Routers learn from heartbeats what another one has found.
 pub(crate) async fn poll_configuration(
     store: ConfigurationStore,
     control: ControlHandle,
@@ -74,33 +75,34 @@
     let mut behind_reads = 0;
     loop {
         let version = store.head_version().await;
-        control.send(Command::Platform {
+        control.send(Command::PlatformCall {
             reached: version.is_ok(),
         });
         let snapshot = control.snapshot();
         if let Ok(version) = version {
             let held = snapshot.config.as_ref();
-            let news = match version.cmp(&held.version) {
-                // A platform behind a peer has gone back: that peer's configuration is on its way.
+            let newer = match version.cmp(&held.version) {
+                // The platform was restored to an older state than a peer's: that peer's
+                // configuration is being fetched.
                 std::cmp::Ordering::Greater if version < snapshot.newest_version() => None,
                 std::cmp::Ordering::Greater => store.load_since(held).await.ok(),
-                // The platform says that there is none yet.
+                // Confirms the empty configuration while the platform has none.
                 std::cmp::Ordering::Equal => (version == 0).then(FleetConfig::default),
                 std::cmp::Ordering::Less => {
                     behind_reads += 1;
                     let newest = held.version == snapshot.newest_version();
-                    let certain = newest && behind_reads >= REPUBLISH_AFTER_READS;
-                    republish(&store, held, certain, &router_name).await
+                    let is_confirmed = newest && behind_reads >= REPUBLISH_AFTER_READS;
+                    republish(&store, held, is_confirmed, &router_name).await
                 }
             };
             if version >= held.version {
                 behind_reads = 0;
             }
-            if let Some(config) = news {
+            if let Some(config) = newer {
                 control.send(Command::OfferConfig(Arc::new(config)));
             }
         }
-        // A platform that has gone back is looked at again by the same router, and soon.
+        // After a read of an older state this router polls the platform again after one period.
         let routers = match behind_reads {
             0 => snapshot.live_routers().max(1) as u32,
             _ => 1,
@@ -109,22 +111,23 @@
     }
 }
 
-/// Gives peers the time to tell their configuration before the platform is asked: a platform that
-/// has gone back must not put an older one in force on a router that starts.
+/// Waits until peers had time to announce their configuration versions. Otherwise a platform that
+/// was restored to an older state could put an older configuration in force on a starting router.
 async fn wait_for_peers(control: &ControlHandle) {
     while !control.snapshot().peers_seen {
-        tokio::time::sleep(PEERS_FIRST_POLL).await;
+        tokio::time::sleep(PEERS_SEEN_POLL_PERIOD).await;
     }
 }
 
-/// Writes back what this router holds, once it is certain that no router holds more.
+/// Writes the configuration of this router back to the platform, once it is confirmed that no
+/// router holds a newer one. Returns it under its new version.
 async fn republish(
     store: &ConfigurationStore,
     held: &FleetConfig,
-    certain: bool,
+    is_confirmed: bool,
     router_name: &str,
 ) -> Option<FleetConfig> {
-    if !certain {
+    if !is_confirmed {
         return None;
     }
     let written = store
@@ -135,7 +138,7 @@
     Some(written)
 }
 
-/// Fetches one load report.
+/// Fetches the load report of a server.
 pub(crate) async fn fetch_report(
     backend: BackendClient,
     server: ServerId,
@@ -143,10 +146,10 @@
     control: ControlHandle,
 ) {
     let report = backend.load_report(address).await.ok();
-    control.send(Command::Report { server, report });
+    control.send(Command::LoadReport { server, report });
 }
 
-/// Fetches a peer's configuration.
+/// Fetches a peer's configuration, as changes since `held` if the peer still knows them.
 pub(crate) async fn fetch_config(
     peers: PeerClient,
     address: SocketAddr,
--- a/crates/sapphiretrackd/src/control/slots.rs
+++ b/crates/sapphiretrackd/src/control/slots.rs
@@ -1,4 +1,4 @@
-//! Slots on backend servers: where they are decided, and what this router holds.
+//! Slots on backend servers: granting them as steward, and those that this router holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,49 +10,54 @@
 use sapphiretrack_peer::{PeerReply, PeerRequest};
 
 use crate::control::ControlState;
-use crate::control::handle::{Begun, Place, SlotRefusal, SlotWish};
+use crate::control::handle::{BegunReservation, Place, SlotRefusal, SlotWish};
 
 /// A slot that this router holds or has asked for.
-pub(super) struct Held {
+pub(super) struct HeldSlot {
+    /// The server.
     pub(super) server: ServerId,
-    pub(super) steward: Option<SocketAddr>,
-    /// Prompt tokens that the server is expected to compute.
+    /// The address of the steward; none if that is this router.
+    pub(super) steward_address: Option<SocketAddr>,
+    /// Prompt tokens that the server does not have cached and is expected to compute.
     pub(super) uncached_tokens: u32,
-    pub(super) asked_ms: u64,
-    /// Whether its steward has granted it.
+    /// When the slot was requested.
+    pub(super) requested_ms: u64,
+    /// Whether the steward has granted the slot.
     pub(super) is_granted: bool,
 }
 
 /// A backend server with its pool.
 pub(super) struct PooledServer<'a> {
     pub(super) id: ServerId,
-    pub(super) known: &'a RosterServer,
+    /// Its entry in the roster.
+    pub(super) entry: &'a RosterServer,
     pub(super) pool: &'a str,
     pub(super) kind: PoolKind,
 }
 
 impl ControlState {
-    /// Starts a reservation on a server.
-    pub(crate) fn begin(&mut self, wish: SlotWish, now_ms: u64) -> Begun {
-        let SlotWish { server, .. } = wish;
-        let in_flight = self.own_in_flight_with(server);
+    /// Starts a reservation on a server: decides on it if this router is the steward, otherwise
+    /// returns the steward to ask.
+    pub(crate) fn begin_reservation(&mut self, request: SlotWish, now_ms: u64) -> BegunReservation {
+        let SlotWish { server, .. } = request;
+        let in_flight = self.own_pool_in_flight(server);
         let reservation = ReservationId(self.next_reservation);
         self.next_reservation = self.next_reservation.wrapping_add(1);
         let router = self.identity.id;
-        let told = self.load_to_tell(&wish, now_ms);
-        let is_hopeless = wish.refusal.is_some() && told.is_none();
-        let may_ask = |steward: &RouterId| self.asks.may_ask(*steward, server, now_ms);
+        let told = self.load_for_retry(&request, now_ms);
+        let retry_is_futile = request.refusal.is_some() && told.is_none();
+        let may_ask = |steward: &RouterId| self.ask_memory.may_ask(*steward, server, now_ms);
         let place = match self.steward(server) {
-            _ if is_hopeless => Place::Nowhere,
+            _ if retry_is_futile => Place::Nowhere,
             Some(steward) if steward == router => {
-                let request = ReserveRequest {
+                let reserve_request = ReserveRequest {
                     router,
                     reservation,
                     server,
-                    bound_share: wish.bound_share as f32,
+                    bound_share: request.bound_share as f32,
                     in_flight,
                 };
-                Place::Here(self.reserve(&request, told, now_ms))
+                Place::Here(self.reserve(&reserve_request, told, now_ms))
             }
             Some(steward) => match self.peers.get(steward).filter(|_| may_ask(&steward)) {
                 Some(peer) => Place::Peer(peer.profile.peer_address),
@@ -60,23 +65,23 @@
             },
             None => Place::Nowhere,
         };
-        let steward = match place {
+        let steward_address = match place {
             Place::Here(Grant::Granted) => Some(None),
             Place::Peer(address) => Some(Some(address)),
             Place::Here(_) | Place::Nowhere => None,
         };
-        if let Some(steward) = steward {
-            let held = Held {
+        if let Some(steward_address) = steward_address {
+            let held = HeldSlot {
                 server,
-                steward,
-                uncached_tokens: wish.uncached_tokens,
-                asked_ms: now_ms,
-                is_granted: steward.is_none(),
+                steward_address,
+                uncached_tokens: request.uncached_tokens,
+                requested_ms: now_ms,
+                is_granted: steward_address.is_none(),
             };
             self.changed = true;
-            self.held.insert(reservation, held);
+            self.held_slots.insert(reservation, held);
         }
-        Begun {
+        BegunReservation {
             reservation,
             place,
             in_flight,
@@ -84,32 +89,33 @@
         }
     }
 
-    /// What a steward that refused is told when it is asked again; none if that would not help.
-    fn load_to_tell(&self, wish: &SlotWish, now_ms: u64) -> Option<ToldLoad> {
-        let refusal = wish.refusal?;
-        let pool = self.pool_of(wish.server)?;
+    /// The load to send to a steward that refused before, so that it can decide again; none if that
+    /// is not expected to help.
+    fn load_for_retry(&self, request: &SlotWish, now_ms: u64) -> Option<ToldLoad> {
+        let refusal = request.refusal?;
+        let pool = self.pool_of(request.server)?;
         let load = self.pool_load(&pool, now_ms);
-        ask_again(&self.bound, &load, wish.bound_share, refusal)
+        ask_again(&self.bound, &load, request.bound_share, refusal)
     }
 
-    /// Notes that a peer granted a slot.
-    pub(crate) fn note_granted(&mut self, reservation: ReservationId) {
-        if let Some(held) = self.held.get_mut(&reservation) {
+    /// Records that a peer granted a slot.
+    pub(crate) fn mark_granted(&mut self, reservation: ReservationId) {
+        if let Some(held) = self.held_slots.get_mut(&reservation) {
             held.is_granted = true;
         }
     }
 
-    /// Notes why a peer did not grant a slot.
-    pub(crate) fn note_refused(
+    /// Records why a peer did not grant a slot.
+    pub(crate) fn record_slot_refusal(
         &mut self,
         reservation: ReservationId,
         refusal: SlotRefusal,
         now_ms: u64,
     ) {
-        let Some(held) = self.held.get(&reservation) else {
+        let Some(held) = self.held_slots.get(&reservation) else {
             return;
         };
-        let (server, address) = (held.server, held.steward);
+        let (server, address) = (held.server, held.steward_address);
         let steward = self
             .peers
             .iter()
@@ -117,40 +123,45 @@
             .map(|(router, _)| router);
         let Some(steward) = steward else { return };
         match refusal {
-            SlotRefusal::Full(full) => self.note_pool_load(steward, server, full.in_flight, now_ms),
-            SlotRefusal::NotSteward => self.asks.note_not_steward(steward, server, now_ms),
+            SlotRefusal::Full(full) => {
+                self.record_pool_load(steward, server, full.in_flight, now_ms)
+            }
+            SlotRefusal::NotSteward => self.ask_memory.note_not_steward(steward, server, now_ms),
             SlotRefusal::Unexplained => {}
-            SlotRefusal::Silent => self.asks.note_silent(steward, now_ms),
+            SlotRefusal::Silent => self.ask_memory.note_silent(steward, now_ms),
         }
     }
 
-    /// What a refusal for want of room tells the asker.
-    fn full_server(&self, server: ServerId, now_ms: u64) -> FullServer {
+    /// The counts that are sent with the refusal of a slot on a full server.
+    fn refusal_counts(&self, server: ServerId, now_ms: u64) -> FullServer {
         let pool = self.pool_of(server).unwrap_or_default();
         FullServer {
             held: self.ledger.held(server).unwrap_or(0) as u16,
-            in_flight: self.own_in_flight_with(server),
+            in_flight: self.own_pool_in_flight(server),
             live_servers: self.pool_load(&pool, now_ms).live_servers as u16,
         }
     }
 
-    /// Decides on a peer's question for a slot; `told` is what it knows of the pool's load.
+    /// Decides on a peer's request for a slot. `known_load` is the pool's load that the peer knows.
     pub(super) fn reserve_for_peer(
         &mut self,
         request: &ReserveRequest,
-        told: Option<ToldLoad>,
+        known_load: Option<ToldLoad>,
         now_ms: u64,
     ) -> PeerReply {
-        self.note_pool_load(request.router, request.server, request.in_flight, now_ms);
-        match self.reserve(request, told, now_ms) {
-            Grant::Full => PeerReply::Full(self.full_server(request.server, now_ms)),
+        self.record_pool_load(request.router, request.server, request.in_flight, now_ms);
+        match self.reserve(request, known_load, now_ms) {
+            Grant::Full => PeerReply::Full(self.refusal_counts(request.server, now_ms)),
             decided => PeerReply::Reserve(decided),
         }
     }
 
-    /// Ends a reservation; returns what the steward has to be told, if it is a peer.
-    pub(crate) fn end(&mut self, reservation: ReservationId) -> Option<(SocketAddr, PeerRequest)> {
-        let held = self.held.remove(&reservation)?;
+    /// Ends a reservation. Returns the release to send if the steward is a peer.
+    pub(crate) fn end_reservation(
+        &mut self,
+        reservation: ReservationId,
+    ) -> Option<(SocketAddr, PeerRequest)> {
+        let held = self.held_slots.remove(&reservation)?;
         self.changed = true;
         let router = self.identity.id;
         self.ledger.release(router, held.server, reservation);
@@ -158,21 +169,26 @@
             router,
             server: held.server,
             reservation,
-            in_flight: self.own_in_flight_with(held.server),
+            in_flight: self.own_pool_in_flight(held.server),
         };
-        held.steward.map(|steward| (steward, release))
+        held.steward_address.map(|address| (address, release))
     }
 
-    /// The servers whose load reports this router fetches: those that it is steward of.
+    /// The servers whose load reports this router fetches, as their steward, with their addresses.
     pub(crate) fn watched_servers(&self) -> Vec<(ServerId, SocketAddr)> {
-        let servers = self.stewarded().into_iter();
+        let servers = self.stewarded_servers().into_iter();
         servers
             .filter_map(|server| Some((server, self.servers.get(server)?.record.address)))
             .collect()
     }
 
-    /// Decides on a slot of a server that this router is steward of.
-    fn reserve(&mut self, request: &ReserveRequest, told: Option<ToldLoad>, now_ms: u64) -> Grant {
+    /// Decides on a slot, with `NotSteward` if this router cannot grant slots of the server.
+    fn reserve(
+        &mut self,
+        request: &ReserveRequest,
+        known_load: Option<ToldLoad>,
+        now_ms: u64,
+    ) -> Grant {
         if self.resignation.has_resigned() {
             return Grant::NotSteward;
         }
@@ -191,29 +207,29 @@
         self.changed = true;
         let load = self
             .pool_load(&pool, now_ms)
-            .with_told(told.unwrap_or_default());
+            .with_told(known_load.unwrap_or_default());
         let bound = self.bound;
         self.ledger.reserve(request, &bound, &load, now_ms)
     }
 
-    /// Brings the ledger in line with the view: which servers this router counts, who may hold
-    /// slots there, and what it holds itself.
-    pub(super) fn settle_ledger(&mut self, now_ms: u64) {
+    /// Updates the ledger and the consents with the current view of the cell: the servers that this
+    /// router may be steward of, the routers that may hold slots there, and its own slots.
+    pub(super) fn update_ledger(&mut self, now_ms: u64) {
         let me = self.identity.id;
         let all: BTreeSet<ServerId> = self.servers.iter().map(|(server, _)| server).collect();
-        let consents = |server: &ServerId| self.names.consent(*server) == Some(me);
-        let stewarded: Vec<ServerId> = all.iter().copied().filter(consents).collect();
-        self.names.note_sent(me, now_ms);
+        let has_own_consent = |server: &ServerId| self.consents.consent(*server) == Some(me);
+        let stewarded: Vec<ServerId> = all.iter().copied().filter(has_own_consent).collect();
+        self.consents.note_sent(me, now_ms);
         let mut live: Vec<RouterId> = self.peers.iter().map(|(router, _)| router).collect();
         live.push(me);
-        let listed = self.list.iter();
+        let listed = self.vm_list.iter();
         let routers = listed.filter(|record| matches!(record.role, VmRole::Router { .. }));
         let mut known: BTreeSet<RouterId> = routers
             .map(|record| RouterId::from_name(&record.name))
             .collect();
         known.extend(&live);
         let known: Vec<RouterId> = known.into_iter().collect();
-        let ended: Vec<RouterId> = self.endings.routers().collect();
+        let ended: Vec<RouterId> = self.ended_runs.routers().collect();
         let view = CellView {
             stewarded: &stewarded,
             live: &live,
@@ -221,22 +237,22 @@
             ended: &ended,
         };
         self.ledger.set_view(&view, now_ms);
-        let own = self.held_for(me);
+        let own = self.held_slots_for(me);
         self.ledger.reconcile(me, &own, now_ms);
         let may_begin = self.ledger.sees_cell();
-        self.names.retain(|server| all.contains(&server));
+        self.consents.retain(|server| all.contains(&server));
         if self.resignation.has_resigned() {
-            self.names.release(me);
+            self.consents.release(me);
         }
         for server in all {
             if let Some(steward) = steward_of(server, &self.stewards) {
-                self.names.want(server, steward, may_begin, now_ms);
+                self.consents.want(server, steward, may_begin, now_ms);
             }
         }
     }
 
     /// The servers that this router is steward of.
-    pub(super) fn stewarded(&self) -> Vec<ServerId> {
+    pub(super) fn stewarded_servers(&self) -> Vec<ServerId> {
         self.servers
             .iter()
             .map(|(server, _)| server)
@@ -244,17 +260,19 @@
             .collect()
     }
 
+    /// The router to ask for slots of a server.
     pub(super) fn steward(&self, server: ServerId) -> Option<RouterId> {
-        self.names.steward(server)
+        self.consents.steward(server)
     }
 
+    /// All known backend servers.
     pub(super) fn pooled_servers(&self) -> impl Iterator<Item = PooledServer<'_>> {
         self.servers
             .iter()
-            .filter_map(|(id, known)| match &known.record.role {
+            .filter_map(|(id, entry)| match &entry.record.role {
                 VmRole::Server { pool, kind } => Some(PooledServer {
                     id,
-                    known,
+                    entry,
                     pool,
                     kind: *kind,
                 }),
@@ -262,7 +280,8 @@
             })
     }
 
-    /// Whether a server takes new work, by all signals and by the operators.
+    /// Whether a server takes new work. Unknown servers and those that operators drain count as
+    /// leaving.
     pub(super) fn server_state(&self, server: ServerId, now_ms: u64) -> VmState {
         if self.config.is_draining(server) {
             return VmState::Leaving;
@@ -272,16 +291,18 @@
             .unwrap_or(VmState::Leaving)
     }
 
+    /// Requests in flight by server: exact where this router counts the slots as steward, otherwise
+    /// its own plus what peers reported.
     pub(super) fn in_flight_by_server(&self) -> BTreeMap<ServerId, u32> {
         let mut counts: BTreeMap<ServerId, u32> = BTreeMap::new();
-        for held in self.held.values() {
+        for held in self.held_slots.values() {
             *counts.entry(held.server).or_default() += 1;
         }
         for (router, _) in self.peers.iter() {
-            let Some(told) = self.book.in_flight.get(&router) else {
+            let Some(peer_counts) = self.heartbeat_tracker.in_flight.get(&router) else {
                 continue;
             };
-            for (server, count) in told {
+            for (server, count) in peer_counts {
                 *counts.entry(*server).or_default() += u32::from(*count);
             }
         }
--- a/crates/sapphiretrackd/src/control/snapshot.rs
+++ b/crates/sapphiretrackd/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! The control state as traffic threads read it.
+//! Immutable snapshots of the control state, read by traffic threads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,35 +7,37 @@
     FleetConfig, KeyIndex, PoolView, RouterId, RouterView, VmRecord, VmState,
 };
 
-/// An immutable picture of the control state.
+/// An immutable snapshot of the control state.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     /// This router.
     pub(crate) me: RouterId,
     /// The configuration in force.
     pub(crate) config: Arc<FleetConfig>,
-    /// Its contracts by key.
+    /// The contracts of the configuration, indexed by caller key.
     pub(crate) keys: Arc<KeyIndex>,
-    /// Whether the platform or a peer has told a configuration, be it an empty one.
+    /// Whether a configuration was received from the platform, a peer or an operator. It may be
+    /// empty.
     pub(crate) config_known: bool,
-    /// All routers seen lately, this one included.
+    /// All routers that are seen, this one included.
     pub(crate) routers: Vec<RouterView>,
     /// The pools by name.
     pub(crate) pools: BTreeMap<String, PoolView>,
-    /// Whether new work is refused because neither platform nor peers are seen.
+    /// Whether new work is refused because neither the platform nor any peer is reached.
     pub(crate) isolated: bool,
     /// Whether this router is stopping.
     pub(crate) stopping: bool,
-    /// Whether every live router was seen since the start, or had the time to be.
+    /// Whether as many routers were seen as the platform lists, or the router has been running long
+    /// enough to see them.
     pub(crate) peers_seen: bool,
-    /// Whether the platform was reached lately.
+    /// Whether the platform was reached recently.
     pub(crate) platform_reached: bool,
-    /// Other routers that the platform's last list shows as live.
+    /// Other routers that are live in the platform's last list.
     pub(crate) listed_others: Vec<VmRecord>,
 }
 
 impl Snapshot {
-    /// The picture of a router that has seen nothing yet.
+    /// The snapshot of a router that has not received anything yet.
     pub(crate) fn empty(me: RouterId) -> Self {
         Self {
             me,
--- a/crates/sapphiretrackd/src/control/state.rs
+++ b/crates/sapphiretrackd/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The control state and how messages change it.
+//! The control state, and the commands that change it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,70 +14,86 @@
 use sapphiretrack_platform::wire::VmList;
 
 use crate::control::budgets::Budgets;
-use crate::control::heartbeats::{HeartbeatBook, URGENT_ROUNDS};
-use crate::control::load::LoadBook;
-use crate::control::slots::Held;
+use crate::control::heartbeats::{HeartbeatTracker, URGENT_ROUNDS};
+use crate::control::load::LoadTracker;
+use crate::control::slots::HeldSlot;
 use crate::events::Event;
 
-/// Who this router is.
+/// The identity of this router.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
+    /// The id, derived from the name.
     pub(crate) id: RouterId,
+    /// Increases with each start of the router.
     pub(crate) incarnation: Incarnation,
+    /// The name, zone and addresses.
     pub(crate) profile: RouterProfile,
 }
 
-/// Times that rule the control state.
+/// Timeouts of the control state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timing {
+    /// The silence after which a peer is dropped.
     pub(crate) dead_after_ms: u64,
+    /// The time without platform and peers after which this router refuses new work.
     pub(crate) isolated_after_ms: u64,
+    /// The age beyond which a load report is stale.
     pub(crate) report_stale_after_ms: u64,
 }
 
-/// All control state; only the control thread has it.
+/// The control state, owned by the control thread.
 pub(crate) struct ControlState {
     pub(super) identity: Identity,
     pub(super) timing: Timing,
     pub(super) bound: LoadBound,
     pub(super) config: Arc<FleetConfig>,
     pub(super) keys: Arc<KeyIndex>,
-    /// Whether the platform or a peer has told a configuration, be it an empty one.
+    /// Whether a configuration was received from the platform, a peer or an operator. It may be
+    /// empty.
     pub(super) config_known: bool,
-    pub(super) list: Vec<VmRecord>,
+    /// The platform's last list of VMs, sorted by name.
+    pub(super) vm_list: Vec<VmRecord>,
+    /// The hash of `vm_list`; 0 before the first list.
     pub(super) list_digest: u64,
     pub(super) peers: PeerRoster,
     pub(super) servers: ServerRoster,
     pub(super) ledger: Ledger,
-    pub(super) names: StewardNames,
-    /// Peers' runs that are proven to have ended.
-    pub(super) endings: Endings,
-    /// Whether this router, leaving, has given its stewardships up.
+    /// The stewards that this router consents to.
+    pub(super) consents: StewardNames,
+    /// Incarnations of peers that are proven to have ended.
+    pub(super) ended_runs: Endings,
+    /// Whether this router has resigned as steward because it is leaving.
     pub(super) resignation: Resignation,
-    pub(super) asks: AskMemory,
-    pub(super) loads: LoadBook,
+    /// Stewards that are not asked for a moment because they did not reply or are no stewards.
+    pub(super) ask_memory: AskMemory,
+    pub(super) load_tracker: LoadTracker,
     pub(super) budgets: Budgets,
-    pub(super) held: BTreeMap<ReservationId, Held>,
+    /// The slots that this router holds or has asked for.
+    pub(super) held_slots: BTreeMap<ReservationId, HeldSlot>,
     pub(super) next_reservation: u32,
-    pub(super) book: HeartbeatBook,
+    pub(super) heartbeat_tracker: HeartbeatTracker,
+    /// Whether the planned stop has begun.
     pub(super) stopping: bool,
-    /// The list says that this router is leaving, and others were there to take over.
-    told_to_leave: bool,
+    /// Whether the list has shown this router as leaving while a live peer could take over.
+    leaving_by_list: bool,
+    /// Whether new work is refused because neither the platform nor any peer is reached.
     pub(super) isolated: bool,
+    /// The routers that may be stewards.
     pub(super) stewards: Vec<RouterId>,
     /// Whether traffic threads need a new snapshot.
     pub(super) changed: bool,
-    /// How many rounds of heartbeats have to go out at once.
+    /// How many rounds of heartbeats are still to be sent without waiting for the heartbeat period.
     pub(super) urgent_rounds: u8,
+    /// Addresses from the settings, used while no peer is seen.
     seeds: Vec<SocketAddr>,
-    pause: PauseWatch,
+    pause_watch: PauseWatch,
     platform_reached_ms: Option<u64>,
     platform_was_reached: bool,
     peers_were_seen: bool,
 }
 
 impl ControlState {
-    /// The state of a router that has seen nothing yet.
+    /// The state of a router that has not received anything yet.
     pub(crate) fn new(
         identity: Identity,
         timing: Timing,
@@ -94,14 +110,14 @@
         };
         Self {
             ledger: Ledger::new(identity.id, ledger_settings(&timing)),
-            names: StewardNames::new(ledger_settings(&timing).consent),
-            endings: Endings::default(),
+            consents: StewardNames::new(ledger_settings(&timing).consent),
+            ended_runs: Endings::default(),
             resignation: Resignation::default(),
-            asks: AskMemory::new(AskSettings::default()),
-            loads: LoadBook::default(),
+            ask_memory: AskMemory::new(AskSettings::default()),
+            load_tracker: LoadTracker::default(),
             peers: PeerRoster::new(identity.id, peer_settings),
             servers: ServerRoster::new(server_settings),
-            book: HeartbeatBook::new(identity.incarnation),
+            heartbeat_tracker: HeartbeatTracker::new(identity.incarnation),
             identity,
             timing,
             bound,
@@ -109,79 +125,79 @@
             keys: Arc::default(),
             config_known: false,
             budgets: Budgets::default(),
-            list: Vec::new(),
+            vm_list: Vec::new(),
             list_digest: 0,
-            held: BTreeMap::new(),
+            held_slots: BTreeMap::new(),
             next_reservation: 0,
             stopping: false,
-            told_to_leave: false,
+            leaving_by_list: false,
             isolated: false,
             stewards: Vec::new(),
             changed: true,
             urgent_rounds: 0,
             seeds,
-            pause: PauseWatch::default(),
+            pause_watch: PauseWatch::default(),
             platform_reached_ms: None,
             platform_was_reached: false,
             peers_were_seen: false,
         }
     }
 
-    /// This router.
+    /// The id of this router.
     pub(crate) fn id(&self) -> RouterId {
         self.identity.id
     }
 
-    /// This router's name.
+    /// The name of this router.
     pub(crate) fn name(&self) -> &str {
         &self.identity.profile.name
     }
 
-    /// Which run of this router.
+    /// The incarnation of this router.
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.identity.incarnation
     }
 
-    /// The configuration version in force.
+    /// The version of the configuration in force.
     pub(crate) fn config_version(&self) -> u64 {
         self.config.version
     }
 
-    /// Takes in the platform's list, read by this router or by a peer.
-    pub(crate) fn take_vm_list(&mut self, mut list: VmList, now_ms: u64) {
+    /// Applies the platform's list of VMs, read by this router or by a peer.
+    pub(crate) fn apply_vm_list(&mut self, mut list: VmList, now_ms: u64) {
         list.vms.sort_by(|a, b| a.name.cmp(&b.name));
         let peers = self.peers.take_list(&list.vms, now_ms);
         let servers = self.servers.take_list(&list.vms, now_ms);
-        self.note_peer_changes(&peers);
-        self.note_server_changes(&servers);
+        self.handle_peer_changes(&peers);
+        self.handle_server_changes(&servers);
         let mut others = self.peers.iter();
         let others_live = others.any(|(_, peer)| peer.state() == VmState::Live);
-        if self.peers.is_listed_leaving() && others_live && !self.told_to_leave {
-            self.told_to_leave = true;
+        if self.peers.is_listed_leaving() && others_live && !self.leaving_by_list {
+            self.leaving_by_list = true;
             self.changed = true;
             self.urgent_rounds = URGENT_ROUNDS;
         }
-        if list.vms != self.list {
+        if list.vms != self.vm_list {
             let text = serde_json::to_vec(&list.vms).unwrap_or_default();
             self.list_digest = hash_parts(&[&text]);
-            self.list = list.vms;
+            self.vm_list = list.vms;
             self.changed = true;
         }
     }
 
-    /// Whether this router never got a list and has to ask a peer.
-    pub(crate) fn lacks_list(&self) -> bool {
+    /// Whether this router has no list of VMs yet and has to fetch it from a peer.
+    pub(crate) fn lacks_vm_list(&self) -> bool {
         self.list_digest == 0
     }
 
-    /// Notes whether the platform was reached.
-    pub(crate) fn note_platform(&mut self, reached: bool, now_ms: u64) {
+    /// Records the time of a call to the platform that got a reply.
+    pub(crate) fn record_platform_call(&mut self, reached: bool, now_ms: u64) {
         if reached {
             self.platform_reached_ms = Some(now_ms);
         }
     }
 
-    /// Takes in a configuration, if it is newer; tells whether it is now in force.
+    /// Puts a configuration in force if it is newer than the current one.
     pub(crate) fn offer_config(&mut self, offered: Arc<FleetConfig>) -> Refreshed {
         self.changed |= !self.config_known;
         self.config_known = true;
@@ -200,33 +216,34 @@
         refreshed
     }
 
-    /// Takes in a load report that this router asked for.
-    pub(crate) fn take_report(
+    /// Applies the result of fetching a load report; none if the call failed.
+    pub(crate) fn apply_load_report(
         &mut self,
         server: ServerId,
         report: Option<LoadReport>,
         now_ms: u64,
     ) {
-        let before = self.seen_of(server, now_ms);
+        let before = self.visible_server_state(server, now_ms);
         if let Some(report) = &report {
-            self.note_reported(server, now_ms);
+            self.record_report_time(server, now_ms);
             let in_flight = report.running + report.queued;
             self.ledger.note_report(server, in_flight, now_ms);
         }
         let change = self.servers.take_report(server, report, now_ms);
-        self.note_server_changes(change.as_slice());
-        self.changed |= self.seen_of(server, now_ms) != before;
+        self.handle_server_changes(change.as_slice());
+        self.changed |= self.visible_server_state(server, now_ms) != before;
     }
 
-    /// Marks a server's incarnation as leaving: a request met its refusal.
-    pub(crate) fn note_server_leaving(
+    /// Marks a server's incarnation as leaving, after it refused a request for that reason or a
+    /// peer reported it.
+    pub(crate) fn mark_server_leaving(
         &mut self,
         server: ServerId,
         incarnation: Incarnation,
         now_ms: u64,
     ) {
         let change = self.servers.note_leaving(server, incarnation, now_ms);
-        self.note_server_changes(change.as_slice());
+        self.handle_server_changes(change.as_slice());
     }
 
     /// Begins the planned stop.
@@ -236,11 +253,11 @@
         self.urgent_rounds = URGENT_ROUNDS;
     }
 
-    /// Runs a call of a peer.
-    pub(crate) fn handle_peer(&mut self, request: PeerRequest, now_ms: u64) -> PeerReply {
+    /// Handles a request from a peer.
+    pub(crate) fn handle_peer_request(&mut self, request: PeerRequest, now_ms: u64) -> PeerReply {
         match request {
             PeerRequest::Heartbeat(heartbeat) => {
-                PeerReply::Heartbeat(self.take_heartbeat(*heartbeat, now_ms))
+                PeerReply::Heartbeat(self.handle_heartbeat(*heartbeat, now_ms))
             }
             PeerRequest::Reserve(request) => self.reserve_for_peer(&request, None, now_ms),
             PeerRequest::ReserveAgain { request, told } => {
@@ -252,48 +269,52 @@
                 reservation,
                 in_flight,
             } => {
-                self.note_pool_load(router, server, in_flight, now_ms);
+                self.record_pool_load(router, server, in_flight, now_ms);
                 self.changed = true;
                 self.ledger.release(router, server, reservation);
                 PeerReply::Released
             }
-            PeerRequest::FetchConfig => self.whole_config(),
+            PeerRequest::FetchConfig => self.full_config_reply(),
             PeerRequest::FetchConfigSince { version, change_id } => {
-                self.config_since(version, &change_id)
+                self.config_changes_reply(version, &change_id)
             }
-            PeerRequest::LeaseBudget(ask) => PeerReply::Budget(self.keep_budget(&ask, now_ms)),
-            // What is known of warm chats is no control state: it is taken in before this.
+            PeerRequest::LeaseBudget(ask) => {
+                PeerReply::Budget(self.answer_budget_ask(&ask, now_ms))
+            }
+            // Warm chats are not part of the control state; they are handled before a request gets
+            // here.
             PeerRequest::HandOver(_) => PeerReply::Unsupported,
-            PeerRequest::FetchVmList => match serde_json::to_string(&self.list) {
+            PeerRequest::FetchVmList => match serde_json::to_string(&self.vm_list) {
                 Ok(vms_json) => PeerReply::VmList(VmListReply { vms_json }),
                 Err(_) => PeerReply::Rejected,
             },
         }
     }
 
-    /// Has to be called at each turn of the control loop, before anything is granted.
+    /// Detects a pause of the control loop. Must be called in each iteration before any slot is
+    /// granted.
     ///
-    /// After a pause this router no longer knows who counts which slots: it grants nothing until
-    /// its peers have seen it again and said anew what they hold.
-    pub(crate) fn turn(&mut self, now_ms: u64) {
-        let Some(gap_ms) = self.pause.turn(now_ms) else {
+    /// After a pause this router does not know whether it is still the steward of any server. It
+    /// grants nothing until its peers have seen a new heartbeat and sent the slots that they hold.
+    pub(crate) fn detect_pause(&mut self, now_ms: u64) {
+        let Some(gap_ms) = self.pause_watch.turn(now_ms) else {
             return;
         };
         Event::PAUSED.log(&[("gap_ms", &gap_ms.to_string())]);
         self.peers.forgive_silence(now_ms);
         self.budgets
-            .note_pause(gap_ms, self.timing.dead_after_ms, now_ms);
-        self.forget_ledger();
+            .reset_after_pause(gap_ms, self.timing.dead_after_ms, now_ms);
+        self.reset_ledger();
         self.urgent_rounds = URGENT_ROUNDS;
         self.tick(now_ms);
     }
 
-    /// Settles all that time alone changes. Call it often.
+    /// Updates everything that changes with time alone. Must be called often.
     pub(crate) fn tick(&mut self, now_ms: u64) {
         let lost_peers = self.peers.tick(now_ms);
-        self.note_peer_changes(&lost_peers);
+        self.handle_peer_changes(&lost_peers);
         let lost_servers = self.servers.tick(now_ms);
-        self.note_server_changes(&lost_servers);
+        self.handle_server_changes(&lost_servers);
         let has_resigned = self.resignation.has_resigned();
         let own = self.own_state();
         let stewards = self.peers.steward_candidates(own, has_resigned, now_ms);
@@ -302,15 +323,15 @@
             self.changed = true;
             self.urgent_rounds = URGENT_ROUNDS;
         }
-        self.settle_resignation();
-        self.note_joined(now_ms);
-        self.settle_ledger(now_ms);
+        self.update_resignation();
+        self.update_joining_servers(now_ms);
+        self.update_ledger(now_ms);
         self.budgets
-            .set_view(self.identity.id, &self.stewards, now_ms);
-        self.note_reach(now_ms);
+            .update_stewards(self.identity.id, &self.stewards, now_ms);
+        self.update_reachability(now_ms);
     }
 
-    /// Whether a heartbeat has to go out at once.
+    /// Whether heartbeats have to be sent at once.
     pub(crate) fn is_urgent(&self) -> bool {
         self.urgent_rounds > 0
     }
@@ -320,37 +341,38 @@
         self.changed
     }
 
-    /// A round of heartbeats goes out now.
-    pub(crate) fn clear_urgent(&mut self) {
+    /// Counts a round of urgent heartbeats as sent.
+    pub(crate) fn finish_urgent_round(&mut self) {
         self.urgent_rounds = self.urgent_rounds.saturating_sub(1);
     }
 
-    /// A new snapshot is taken now.
+    /// Marks the state as unchanged since the snapshot that is taken now.
     pub(crate) fn clear_changed(&mut self) {
         self.changed = false;
     }
 
-    /// Addresses to try while no peer is known.
+    /// Addresses from the settings, used while no peer is seen.
     pub(super) fn seeds(&self) -> &[SocketAddr] {
         &self.seeds
     }
 
-    /// Whether this router takes new work; once leaving, it is so to its end.
+    /// Whether this router takes new work. Leaving is final.
     pub(super) fn own_state(&self) -> VmState {
-        if self.stopping || self.told_to_leave {
+        if self.stopping || self.leaving_by_list {
             VmState::Leaving
         } else {
             VmState::Live
         }
     }
 
+    /// Whether the platform was reached within `isolated_after_ms`.
     pub(super) fn platform_reached(&self, now_ms: u64) -> bool {
         let within_ms = self.timing.isolated_after_ms;
-        self.hearing().platform_reached(within_ms, now_ms)
+        self.contacts().platform_reached(within_ms, now_ms)
     }
 
-    /// What traffic threads see of a server, to notice whether it changed.
-    pub(super) fn seen_of(
+    /// The state of a server that traffic threads see, to detect changes.
+    pub(super) fn visible_server_state(
         &self,
         server: ServerId,
         now_ms: u64,
@@ -359,7 +381,8 @@
         Some((known.report, self.servers.state(server, now_ms)))
     }
 
-    pub(super) fn note_peer_changes(&mut self, changes: &[RosterChange]) {
+    /// Logs changes of peers and requests urgent heartbeats.
+    pub(super) fn handle_peer_changes(&mut self, changes: &[RosterChange]) {
         for change in changes {
             self.changed = true;
             self.urgent_rounds = URGENT_ROUNDS;
@@ -371,7 +394,8 @@
         }
     }
 
-    pub(super) fn note_server_changes(&mut self, changes: &[RosterChange]) {
+    /// Logs changes of servers, and requests urgent heartbeats if one is leaving.
+    pub(super) fn handle_server_changes(&mut self, changes: &[RosterChange]) {
         for change in changes {
             self.changed = true;
             match change {
@@ -385,7 +409,7 @@
         }
     }
 
-    fn hearing(&self) -> Hearing {
+    fn contacts(&self) -> Hearing {
         Hearing {
             expects_others: self.peers.expects_others() || !self.seeds.is_empty(),
             peer_seen_ms: self.peers.seen_ms(),
@@ -393,9 +417,10 @@
         }
     }
 
-    fn note_reach(&mut self, now_ms: u64) {
-        let hearing = self.hearing();
-        let reached = hearing.platform_reached(self.timing.isolated_after_ms, now_ms);
+    /// Updates whether the platform and peers are reached and whether this router is isolated.
+    fn update_reachability(&mut self, now_ms: u64) {
+        let contacts = self.contacts();
+        let reached = contacts.platform_reached(self.timing.isolated_after_ms, now_ms);
         if reached != self.platform_was_reached {
             self.platform_was_reached = reached;
             self.changed = true;
@@ -405,7 +430,7 @@
             self.peers_were_seen = seen;
             self.changed = true;
         }
-        let isolated = hearing.is_isolated(self.timing.isolated_after_ms, now_ms);
+        let isolated = contacts.is_isolated(self.timing.isolated_after_ms, now_ms);
         if isolated != self.isolated {
             let event = if isolated {
                 Event::ISOLATED
@@ -419,7 +444,7 @@
     }
 }
 
-/// A consent is as old as a router that is taken to be live may be silent.
+/// The settings of the ledger: a consent is valid for as long as a silent peer counts as live.
 pub(super) fn ledger_settings(timing: &Timing) -> LedgerSettings {
     LedgerSettings {
         consent: ConsentSettings {
--- a/crates/sapphiretrackd/src/control/thread.rs
+++ b/crates/sapphiretrackd/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! The control loop on its own thread.
+//! The control loop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 
 use crate::clock::Clock;
 use crate::control::handle::{Command, CommandReceiver, ControlHandle};
-use crate::control::heartbeats::Outgoing;
-use crate::control::{ControlState, OrderKeeper, polling};
+use crate::control::heartbeats::OutgoingHeartbeat;
+use crate::control::{ControlState, EngineReconciler, polling};
 use crate::metrics::Metrics;
 
-/// How often all that time alone changes is settled.
-const TICK: Duration = Duration::from_millis(100);
-/// The least time between two snapshots.
+/// How often state that changes with time alone is updated.
+const TICK_PERIOD: Duration = Duration::from_millis(100);
+/// The minimum time between two snapshots that changes cause.
 const PUBLISH_PERIOD: Duration = Duration::from_millis(20);
-/// The least time between two rounds of heartbeats.
+/// The minimum time between two rounds of urgent heartbeats.
 const URGENT_PERIOD: Duration = Duration::from_millis(20);
-/// How old a snapshot may get though no message changed the state: estimates age by themselves.
+/// The maximum age of a snapshot. Estimates such as backlogs change with time alone.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_millis(500);
 /// How often load reports are fetched.
 const REPORT_PERIOD: Duration = Duration::from_millis(250);
 
-/// What the control thread works with.
+/// The state, clients and settings of the control thread.
 pub(crate) struct ControlParts {
     pub(crate) clock: Clock,
     pub(crate) state: ControlState,
@@ -38,60 +38,61 @@
     pub(crate) peers: PeerClient,
     pub(crate) backend: BackendClient,
     pub(crate) metrics: Arc<Metrics>,
+    /// The heartbeat period.
     pub(crate) heartbeat_ms: u64,
     /// Whether a peer's configuration is being fetched.
     pub(crate) fetching_config: Arc<AtomicBool>,
-    /// Asks for a read of the list of VMs.
+    /// Requests an early read of the list of VMs.
     pub(crate) read_list: Arc<Notify>,
 }
 
-/// The control loop: the future that has to run on the control thread.
+/// Returns the control loop as a future, to be run on the control thread.
 pub(crate) fn run_control(
-    parts: ControlParts,
+    control: ControlParts,
     handle: ControlHandle,
     commands: CommandReceiver,
 ) -> BoxFuture<'static, ()> {
-    Box::pin(run(parts, handle, commands))
+    Box::pin(run(control, handle, commands))
 }
 
-async fn run(mut parts: ControlParts, handle: ControlHandle, mut commands: CommandReceiver) {
+async fn run(mut control: ControlParts, handle: ControlHandle, mut commands: CommandReceiver) {
     tokio::spawn(polling::poll_vm_list(
-        parts.platform.clone(),
+        control.platform.clone(),
         handle.clone(),
-        parts.read_list.clone(),
+        control.read_list.clone(),
     ));
     tokio::spawn(polling::poll_configuration(
-        ConfigurationStore::new(parts.platform.clone()),
+        ConfigurationStore::new(control.platform.clone()),
         handle.clone(),
-        parts.state.name().to_owned(),
+        control.state.name().to_owned(),
     ));
-    let keeper = OrderKeeper::new(
-        parts.clock,
+    let reconciler = EngineReconciler::new(
+        control.clock,
         handle.clone(),
-        &parts.platform,
-        parts.state.id(),
-        parts.state.incarnation(),
+        &control.platform,
+        control.state.id(),
+        control.state.incarnation(),
     );
-    tokio::spawn(keeper.run());
-    let mut tick = interval(TICK);
+    tokio::spawn(reconciler.run());
+    let mut tick = interval(TICK_PERIOD);
     let mut publish = interval(PUBLISH_PERIOD);
     let mut republish = interval(MAX_SNAPSHOT_AGE);
     let mut urgent = interval(URGENT_PERIOD);
-    let mut heartbeat = interval(Duration::from_millis(parts.heartbeat_ms));
+    let mut heartbeat = interval(Duration::from_millis(control.heartbeat_ms));
     let mut reports = interval(REPORT_PERIOD);
     loop {
         tokio::select! {
             command = commands.recv() => {
                 let Some(command) = command else { return };
-                parts.state.turn(parts.clock.now_ms());
-                parts.run_command(command, &handle);
+                control.state.detect_pause(control.clock.now_ms());
+                control.run_command(command, &handle);
             }
-            _ = tick.tick() => parts.tick(),
-            _ = publish.tick(), if parts.state.is_changed() => parts.publish(&handle),
-            _ = republish.tick() => parts.publish(&handle),
-            _ = urgent.tick(), if parts.state.is_urgent() => parts.send_urgent(&handle),
-            _ = heartbeat.tick() => parts.send_heartbeats(&handle),
-            _ = reports.tick() => parts.fetch_reports(&handle),
+            _ = tick.tick() => control.tick(),
+            _ = publish.tick(), if control.state.is_changed() => control.publish(&handle),
+            _ = republish.tick() => control.publish(&handle),
+            _ = urgent.tick(), if control.state.is_urgent() => control.send_urgent(&handle),
+            _ = heartbeat.tick() => control.send_heartbeats(&handle),
+            _ = reports.tick() => control.fetch_reports(&handle),
         }
     }
 }
@@ -106,30 +107,30 @@
     fn run_command(&mut self, command: Command, handle: &ControlHandle) {
         let now_ms = self.clock.now_ms();
         match command {
-            Command::Peer { request, reply } => {
+            Command::PeerRequest { request, reply } => {
                 let is_heartbeat = matches!(request, PeerRequest::Heartbeat(_));
-                drop(reply.send(self.state.handle_peer(request, now_ms)));
+                drop(reply.send(self.state.handle_peer_request(request, now_ms)));
                 if is_heartbeat {
                     self.fetch_newer_config(now_ms, handle);
                 }
             }
-            Command::Begin { wish, reply } => {
-                let begun = self.state.begin(wish, now_ms);
+            Command::BeginReservation { request, reply } => {
+                let begun = self.state.begin_reservation(request, now_ms);
                 let reservation = begun.reservation;
                 if reply.send(begun).is_err() {
-                    self.end(reservation);
+                    self.end_reservation(reservation);
                 }
             }
-            Command::Granted { reservation } => self.state.note_granted(reservation),
+            Command::Granted { reservation } => self.state.mark_granted(reservation),
             Command::Refused {
                 reservation,
                 refusal,
-            } => self.state.note_refused(reservation, refusal, now_ms),
-            Command::End { reservation } => self.end(reservation),
-            Command::VmList(list) => self.state.take_vm_list(list, now_ms),
-            Command::Platform { reached } => self.state.note_platform(reached, now_ms),
+            } => self.state.record_slot_refusal(reservation, refusal, now_ms),
+            Command::End { reservation } => self.end_reservation(reservation),
+            Command::VmList(list) => self.state.apply_vm_list(list, now_ms),
+            Command::PlatformCall { reached } => self.state.record_platform_call(reached, now_ms),
             Command::OfferConfig(config) => {
-                // Peers see it now and not with the next heartbeat.
+                // Announced at once instead of with the next periodic heartbeat.
                 if self.offer_config(config) == Refreshed::InForce {
                     self.send_heartbeats(handle);
                 }
@@ -137,13 +138,15 @@
             Command::PeerConfig(config) => {
                 self.offer_config(config);
             }
-            Command::Report { server, report } => self.state.take_report(server, report, now_ms),
-            Command::PeerAnswered {
+            Command::LoadReport { server, report } => {
+                self.state.apply_load_report(server, report, now_ms)
+            }
+            Command::HeartbeatAnswered {
                 router,
                 address,
                 sequence,
-                answer,
-            } => self.take_answer(router, address, sequence, &answer, handle),
+                reply,
+            } => self.handle_heartbeat_reply(router, address, sequence, &reply, handle),
             Command::LeaseBudget { ask, reply } => {
                 drop(reply.send(self.state.lease_budget(ask, now_ms)));
             }
@@ -152,36 +155,38 @@
                 self.send_urgent(handle);
                 self.publish(handle);
             }
-            Command::PeerRefused {
+            Command::PeerConnectionRefused {
                 router,
                 incarnation,
             } => {
-                self.state.note_peer_refused(router, incarnation, now_ms);
+                self.state.handle_peer_refusal(router, incarnation, now_ms);
                 self.state.tick(now_ms);
             }
-            Command::AddressRefused { address } => self.state.note_address_refused(address),
+            Command::AddressRefused { address } => self.state.handle_address_refusal(address),
             Command::ServerLeaving {
                 server,
                 incarnation,
-            } => self.state.note_server_leaving(server, incarnation, now_ms),
+            } => self.state.mark_server_leaving(server, incarnation, now_ms),
         }
     }
 
-    fn take_answer(
+    fn handle_heartbeat_reply(
         &mut self,
         router: Option<RouterId>,
         address: SocketAddr,
         sequence: u64,
-        answer: &HeartbeatReply,
+        reply: &HeartbeatReply,
         handle: &ControlHandle,
     ) {
         let now_ms = self.clock.now_ms();
         match router {
-            Some(router) => self.state.take_answer(router, sequence, answer, now_ms),
-            None => self.state.introduce(answer),
+            Some(router) => self
+                .state
+                .handle_heartbeat_reply(router, sequence, reply, now_ms),
+            None => self.state.add_introduced_peers(reply),
         }
         self.fetch_newer_config(now_ms, handle);
-        if self.state.lacks_list() {
+        if self.state.lacks_vm_list() {
             let fetch = polling::fetch_vm_list(self.peers.clone(), address, handle.clone());
             tokio::spawn(fetch);
         }
@@ -194,9 +199,10 @@
         refreshed
     }
 
-    /// Fetches a peer's newer configuration, unless there is none or a fetch is under way.
+    /// Starts fetching a newer configuration from a peer, unless no peer has one or a fetch is in
+    /// progress.
     fn fetch_newer_config(&self, now_ms: u64, handle: &ControlHandle) {
-        let Some(address) = self.state.newer_config_at(now_ms) else {
+        let Some(address) = self.state.newer_config_source(now_ms) else {
             return;
         };
         if self.fetching_config.swap(true, Ordering::AcqRel) {
@@ -210,49 +216,49 @@
         });
     }
 
-    fn end(&mut self, reservation: sapphiretrack_core::ReservationId) {
-        let Some((steward, release)) = self.state.end(reservation) else {
+    fn end_reservation(&mut self, reservation: sapphiretrack_core::ReservationId) {
+        let Some((steward, release)) = self.state.end_reservation(reservation) else {
             return;
         };
         let peers = self.peers.clone();
         tokio::spawn(async move {
-            // A lost release is settled by the next heartbeat.
+            // If the release is lost, the held slots in the next heartbeat correct the steward.
             drop(peers.release(steward, &release).await);
         });
     }
 
     fn tick(&mut self) {
         let now_ms = self.clock.now_ms();
-        self.state.turn(now_ms);
+        self.state.detect_pause(now_ms);
         self.state.tick(now_ms);
-        if self.state.lists_differ() {
+        if self.state.vm_lists_differ() {
             self.read_list.notify_one();
         }
         self.metrics
             .control_bytes_total("peer_requests", self.peers.sent_bytes());
     }
 
-    /// Publishes a snapshot, after all that follows from the change is settled.
+    /// Publishes a snapshot, after everything that follows from the changes is updated.
     fn publish(&mut self, handle: &ControlHandle) {
         let now_ms = self.clock.now_ms();
-        self.state.turn(now_ms);
+        self.state.detect_pause(now_ms);
         self.state.tick(now_ms);
         self.state.clear_changed();
         let snapshot = self.state.snapshot(now_ms);
         handle.snapshot.store(Arc::new(snapshot));
     }
 
-    /// Settles a changed view and tells the peers at once.
+    /// Updates the state and sends a round of urgent heartbeats.
     fn send_urgent(&mut self, handle: &ControlHandle) {
-        self.state.turn(self.clock.now_ms());
+        self.state.detect_pause(self.clock.now_ms());
         self.state.tick(self.clock.now_ms());
-        self.state.clear_urgent();
+        self.state.finish_urgent_round();
         self.send_heartbeats(handle);
     }
 
     fn send_heartbeats(&mut self, handle: &ControlHandle) {
-        self.state.turn(self.clock.now_ms());
-        for outgoing in self.state.heartbeats(self.clock.now_ms()) {
+        self.state.detect_pause(self.clock.now_ms());
+        for outgoing in self.state.next_heartbeats(self.clock.now_ms()) {
             tokio::spawn(send_heartbeat(self.peers.clone(), handle.clone(), outgoing));
         }
     }
@@ -270,8 +276,8 @@
     }
 }
 
-async fn send_heartbeat(peers: PeerClient, handle: ControlHandle, outgoing: Outgoing) {
-    let Outgoing {
+async fn send_heartbeat(peers: PeerClient, handle: ControlHandle, outgoing: OutgoingHeartbeat) {
+    let OutgoingHeartbeat {
         router,
         incarnation,
         address,
@@ -279,14 +285,14 @@
     } = outgoing;
     let sequence = heartbeat.sequence;
     match (peers.heartbeat(address, heartbeat).await, router) {
-        (Ok(answer), _) => handle.send(Command::PeerAnswered {
+        (Ok(reply), _) => handle.send(Command::HeartbeatAnswered {
             router,
             address,
             sequence,
-            answer,
+            reply,
         }),
         (Err(error), Some(router)) if error.is_refused() => {
-            handle.send(Command::PeerRefused {
+            handle.send(Command::PeerConnectionRefused {
                 router,
                 incarnation,
             });
--- a/crates/sapphiretrackd/src/control/views.rs
+++ b/crates/sapphiretrackd/src/control/views.rs
@@ -1,4 +1,4 @@
-//! The picture of the control state for the traffic threads.
+//! Builds snapshots of the control state.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 use crate::control::{ControlState, Snapshot};
 
 impl ControlState {
-    /// A picture for the traffic threads.
+    /// A snapshot for the traffic threads.
     pub(crate) fn snapshot(&self, now_ms: u64) -> Snapshot {
         let mut pools: BTreeMap<String, PoolView> = BTreeMap::new();
         let in_flight = self.in_flight_by_server();
         for server in self.pooled_servers() {
-            let record = &server.known.record;
+            let record = &server.entry.record;
             let view = ServerView {
                 id: server.id,
                 name: record.name.clone(),
@@ -20,7 +20,7 @@
                 address: record.address,
                 state: self.server_state(server.id, now_ms),
                 in_flight: in_flight.get(&server.id).copied().unwrap_or(0),
-                report: server.known.report,
+                report: server.entry.report,
                 steward: self.steward(server.id).unwrap_or(self.identity.id),
                 is_joining: self.is_joining(server.id, now_ms),
                 backlog_tokens: self.backlog_tokens(server.id, now_ms),
