--- a/crates/sapphiretrackd/src/settings/check.rs
+++ b/crates/sapphiretrackd/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks of settings that need more than one value, or more than its type.
+//! Checks of settings beyond the type of a single value.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crate::settings::error::{SettingsError, value_error};
 use crate::settings::flag::flags;
 
-/// Checks all values; the first that cannot be used is told.
+/// Checks all values and returns the error of the first invalid one.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingsError> {
     const MIN_CELL_KEY_BYTES: usize = 16;
     let bound = &settings.load_bound;
@@ -22,7 +22,7 @@
         (
             "--platform-url",
             is_platform_url(&settings.platform_url),
-            "it is no http://IP:PORT",
+            "it is not http://IP:PORT",
         ),
         (
             "--cell-key",
@@ -32,17 +32,17 @@
         (
             "--open-cell",
             !settings.open_cell || settings.cell_key.is_empty(),
-            "there is a --cell-key too",
+            "--cell-key is also set",
         ),
         (
             "--operator-key-sha256",
             digest.is_empty() || is_digest,
-            "it is no SHA-256",
+            "it is not a SHA-256 digest",
         ),
         (
             "--tls-key",
             settings.tls_cert.is_some() == settings.tls_key.is_some(),
-            "one is missing",
+            "--tls-cert and --tls-key must be set together",
         ),
         ("--max-body-bytes", settings.max_body_bytes > 0, "it is 0"),
         (
@@ -55,7 +55,7 @@
         (
             "--dead-after-ms",
             settings.dead_after_ms >= settings.heartbeat_ms.saturating_mul(3),
-            "it is too near to the heartbeat",
+            "it is less than three times --heartbeat-ms",
         ),
         (
             "--isolated-after-ms",
@@ -81,13 +81,13 @@
         ("--traffic-threads", settings.traffic_threads > 0, "it is 0"),
     ];
     for flag in flags() {
-        for (name, holds, problem) in &checks {
-            if *name == flag.flag && !holds {
-                // Keys are secrets: their values stay out of messages.
+        for (name, is_valid, problem) in &checks {
+            if *name == flag.flag && !is_valid {
+                // Keys are secrets, so error messages do not contain them.
                 let value = if flag.flag.contains("key") {
                     String::from("(hidden)")
                 } else {
-                    (flag.show)(settings)
+                    (flag.format_value)(settings)
                 };
                 return value_error(&flag, &value, problem);
             }
--- a/crates/sapphiretrackd/src/settings/error.rs
+++ b/crates/sapphiretrackd/src/settings/error.rs
@@ -1,14 +1,14 @@
-//! Why settings are refused.
+//! Errors in settings.
 
 use snafu::Snafu;
 
 use crate::settings::flag::Flag;
 
-/// Why settings are refused.
+/// An error in the settings.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum SettingsError {
-    /// A value cannot be used.
+    /// A value is invalid.
     #[snafu(display("{flag} (or {variable}) is {value:?}: {problem}; hint: {hint}"))]
     Value {
         /// The flag.
@@ -19,16 +19,16 @@
         value: String,
         /// What is wrong with it.
         problem: String,
-        /// What would be right.
+        /// A valid form of the value.
         hint: &'static str,
     },
-    /// The command line cannot be read.
-    #[snafu(display("the command line cannot be read: {source}; hint: see --help"))]
+    /// The command line cannot be parsed.
+    #[snafu(display("cannot parse the command line: {source}; hint: see --help"))]
     CommandLine {
-        /// Why.
+        /// The cause.
         source: pico_args::Error,
     },
-    /// There is an argument that no flag takes.
+    /// An argument is not a known flag.
     #[snafu(display("unknown argument {argument:?}; hint: see --help"))]
     UnknownArgument {
         /// The argument.
@@ -36,7 +36,7 @@
     },
 }
 
-/// The refusal of a flag's value.
+/// Returns the error for an invalid value of a flag.
 pub(super) fn value_error<T>(flag: &Flag, value: &str, problem: &str) -> Result<T, SettingsError> {
     ValueSnafu {
         flag: flag.flag,
--- a/crates/sapphiretrackd/src/settings/flag.rs
+++ b/crates/sapphiretrackd/src/settings/flag.rs
@@ -1,4 +1,4 @@
-//! The flags: each with its environment variable, its help and how it sets a value.
+//! The flags, with their environment variables, help texts and parsers.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -6,20 +6,20 @@
 use crate::logging::LogFormat;
 use crate::settings::Settings;
 
-/// A setting's flag; its environment variable is derived from the name.
+/// The flag of a setting; its environment variable is derived from the name.
 pub struct Flag {
-    /// The flag as it is written.
+    /// The flag as written on the command line, for example `--zone`.
     pub flag: &'static str,
-    /// What it sets.
+    /// The help text.
     pub help: &'static str,
-    /// What would be right, for an error.
+    /// A valid form of the value, for error messages.
     pub hint: &'static str,
     pub(super) set: fn(&mut Settings, &str) -> Result<(), String>,
-    pub(super) show: fn(&Settings) -> String,
+    pub(super) format_value: fn(&Settings) -> String,
 }
 
 impl Flag {
-    /// The environment variable.
+    /// Returns the name of the environment variable.
     pub fn variable(&self) -> String {
         format!(
             "SAPPHIRETRACK_{}",
@@ -30,9 +30,9 @@
         )
     }
 
-    /// The default as text.
+    /// Returns the default value as text.
     pub fn default_text(&self) -> String {
-        (self.show)(&Settings::default())
+        (self.format_value)(&Settings::default())
     }
 }
 
@@ -46,12 +46,12 @@
                 settings.$field$(.$sub)? = parse(text)?;
                 Ok(())
             },
-            show: |settings| settings.$field$(.$sub)?.to_string(),
+            format_value: |settings| settings.$field$(.$sub)?.to_string(),
         }
     };
 }
 
-/// All flags that take a value.
+/// Returns all flags that take a value.
 pub fn flags() -> Vec<Flag> {
     let mut flags = identity_flags();
     flags.extend(timing_flags());
@@ -77,31 +77,31 @@
         flag!(
             "caller-address",
             caller_address,
-            "where callers are served",
+            "address that serves callers",
             "use IP:PORT"
         ),
         flag!(
             "operator-address",
             operator_address,
-            "where operators are served",
+            "address that serves operators",
             "use IP:PORT"
         ),
         flag!(
             "peer-address",
             peer_address,
-            "where peers are served",
+            "address that serves peers",
             "use IP:PORT"
         ),
         flag!(
             "platform-url",
             platform_url,
-            "the platform",
+            "URL of the platform",
             "use http://IP:PORT"
         ),
         flag!(
             "cell-key",
             cell_key,
-            "key that the routers of a cell share",
+            "key shared by the routers of a cell",
             "use 16 characters"
         ),
         flag!(
@@ -118,7 +118,7 @@
                 settings.tls_cert = Some(PathBuf::from(text));
                 Ok(())
             },
-            show: |_| String::from("none"),
+            format_value: |_| String::from("none"),
         },
         Flag {
             flag: "--tls-key",
@@ -128,7 +128,7 @@
                 settings.tls_key = Some(PathBuf::from(text));
                 Ok(())
             },
-            show: |_| String::from("none"),
+            format_value: |_| String::from("none"),
         },
     ]
 }
@@ -138,37 +138,37 @@
         flag!(
             "platform-timeout-ms",
             platform_timeout_ms,
-            "how long a call to the platform may take",
+            "timeout of a call to the platform",
             "use milliseconds above 0"
         ),
         flag!(
             "entry-ttl-ms",
             entry_ttl_ms,
-            "how long callers may keep a lookup",
+            "how long callers may cache a lookup",
             "use milliseconds above 0"
         ),
         flag!(
             "heartbeat-ms",
             heartbeat_ms,
-            "how often peers are told this router's state",
+            "interval between heartbeats to peers",
             "use milliseconds above 0"
         ),
         flag!(
             "dead-after-ms",
             dead_after_ms,
-            "when a silent peer counts as dead",
+            "silence after which a peer counts as dead",
             "use at least three times --heartbeat-ms"
         ),
         flag!(
             "isolated-after-ms",
             isolated_after_ms,
-            "when a router without platform and peers refuses new work",
+            "time without platform and peers after which new work is refused",
             "use more than --dead-after-ms"
         ),
         flag!(
             "stop-limit-ms",
             stop_limit_ms,
-            "when a planned stop gives up waiting",
+            "time limit of a planned stop",
             "use milliseconds above 0"
         ),
     ]
@@ -185,13 +185,13 @@
         flag!(
             "placement-memory-chats",
             placement_memory_chats,
-            "chats whose place is remembered",
+            "maximum number of chats in the placement memory",
             "use a number above 0"
         ),
         flag!(
             "memory-snapshot-ms",
             memory_snapshot_ms,
-            "how often where chats are warm is written to the platform; 0 for never",
+            "mean interval between snapshots of the placement memory; 0 for none",
             "use milliseconds"
         ),
         flag!(
@@ -215,7 +215,7 @@
         flag!(
             "traffic-threads",
             traffic_threads,
-            "threads that carry traffic",
+            "threads that serve requests",
             "use a number above 0"
         ),
     ]
@@ -225,34 +225,34 @@
     vec![
         Flag {
             flag: "--log-format",
-            help: "how log lines look: text or json",
+            help: "format of log lines: text or json",
             hint: "use text or json",
             set: |settings, text| {
                 settings.log_format = match text {
                     "text" => LogFormat::Text,
                     "json" => LogFormat::Json,
-                    _ => return Err(String::from("it is neither")),
+                    _ => return Err(String::from("it is neither text nor json")),
                 };
                 Ok(())
             },
-            show: |_| String::from("text"),
+            format_value: |_| String::from("text"),
         },
         flag!(
             "log-level",
             log_level,
-            "which log lines are written: off, error, warn, info, debug",
+            "log level: off, error, warn, info, debug",
             "use one of them"
         ),
         flag!(
             "peer-seeds",
             peer_seeds,
-            "peers to try while the platform names none",
+            "peers to contact while the platform lists none",
             "use IP:PORT,IP:PORT"
         ),
         flag!(
             "open-cell",
             open_cell,
-            "believe any peer, without a key: true or false",
+            "accept any peer without a key: true or false",
             "use it for trials only, without --cell-key"
         ),
     ]
--- a/crates/sapphiretrackd/src/settings/mod.rs
+++ b/crates/sapphiretrackd/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: flags and environment variables, each checked.
+//! The daemon's settings, read from flags and environment variables and validated.
 
 mod check;
 mod error;
@@ -23,59 +23,59 @@
 pub struct Settings {
     /// The router's name, unique in the fleet.
     pub router_name: String,
-    /// Its availability zone.
+    /// The router's availability zone.
     pub zone: String,
-    /// Where callers are served; port 0 takes a free one.
+    /// The address that serves callers; port 0 selects a free port.
     pub caller_address: SocketAddr,
-    /// Where operators are served.
+    /// The address that serves operators.
     pub operator_address: SocketAddr,
-    /// Where peers are served.
+    /// The address that serves peers.
     pub peer_address: SocketAddr,
-    /// The platform: `http://IP:PORT`.
+    /// The URL of the platform, `http://IP:PORT`.
     pub platform_url: String,
-    /// How long a call to the platform may take.
+    /// The timeout of a call to the platform.
     pub platform_timeout_ms: u64,
-    /// The key that the routers of a cell share.
+    /// The key shared by the routers of a cell.
     pub cell_key: String,
-    /// SHA-256 of the operators' key; none opens no operator call.
+    /// SHA-256 digest of the operators' key in hexadecimal; if empty, no key is accepted.
     pub operator_key_sha256: String,
-    /// Certificate for callers and operators, PEM.
+    /// The certificate for callers and operators (PEM).
     pub tls_cert: Option<PathBuf>,
-    /// Its private key, PEM.
+    /// The private key of the certificate (PEM).
     pub tls_key: Option<PathBuf>,
-    /// The largest request body.
+    /// The maximum size of a request body.
     pub max_body_bytes: usize,
-    /// How long callers may keep the addresses of a lookup.
+    /// How long callers may cache the addresses of a lookup.
     pub entry_ttl_ms: u64,
-    /// How often peers are told this router's state.
+    /// The interval between heartbeats to peers.
     pub heartbeat_ms: u64,
-    /// When a peer that is not seen counts as dead.
+    /// The silence after which a peer counts as dead.
     pub dead_after_ms: u64,
-    /// When a router that sees neither platform nor peers refuses new work.
+    /// The time without platform and peers after which the router refuses new work.
     pub isolated_after_ms: u64,
-    /// How many chats the placement memory holds.
+    /// The maximum number of chats in the placement memory.
     pub placement_memory_chats: usize,
-    /// How often where chats are warm is written to the platform; 0 for never.
+    /// The mean interval between snapshots of the placement memory; 0 for none.
     pub memory_snapshot_ms: u64,
-    /// When a planned stop gives up waiting for the last request.
+    /// The time limit of a planned stop; requests in flight are cut at its end.
     pub stop_limit_ms: u64,
     /// The load bound of each pool.
     pub load_bound: LoadBound,
-    /// Threads that carry traffic.
+    /// The number of threads that serve requests.
     pub traffic_threads: usize,
-    /// How log lines look.
+    /// The format of log lines.
     pub log_format: LogFormat,
-    /// Which log lines are written.
+    /// The least severe level that is logged.
     pub log_level: LevelFilter,
-    /// Only check the settings.
+    /// Whether to check the settings and exit.
     pub check_settings: bool,
-    /// Peers to try while the platform names none.
+    /// Peers to contact while the platform lists none.
     pub peer_seeds: AddressList,
-    /// Whether any peer is believed, without a key.
+    /// Whether any peer is accepted without a key.
     pub open_cell: bool,
 }
 
-/// Addresses, separated by commas.
+/// A list of addresses, separated by commas in its text form.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AddressList(pub Vec<SocketAddr>);
 
--- a/crates/sapphiretrackd/src/settings/parse.rs
+++ b/crates/sapphiretrackd/src/settings/parse.rs
@@ -8,7 +8,10 @@
 use crate::settings::error::{CommandLineSnafu, SettingsError, UnknownArgumentSnafu, value_error};
 use crate::settings::flag::flags;
 
-/// Reads the settings: a flag wins over an environment variable, and that over the default.
+/// Reads and checks the settings. A flag takes precedence over an environment variable, and both
+/// over the default.
+///
+/// Fails on the first invalid value or unknown argument.
 pub fn parse_settings<Variable>(
     mut arguments: Arguments,
     variable: Variable,
@@ -42,11 +45,11 @@
     Ok(settings)
 }
 
-/// The text of `--help`.
+/// Returns the text of `--help`.
 pub fn help_text() -> String {
     let mut text = String::from(
         "sapphiretrackd: a router of the fleet\n\n\
-         Each flag can also be set by the environment variable behind it.\n\n",
+         Each flag can also be set by the environment variable in parentheses.\n\n",
     );
     for flag in flags() {
         text.push_str(&format!(
