--- a/crates/sapphiretrackd/src/daemon.rs
+++ b/crates/sapphiretrackd/src/daemon.rs
@@ -199,7 +199,7 @@
         })?;
         match report.cut_requests {
             0 => Event::STOPPED.log(&[("router", &settings.router_name)]),
-            cut => Event::STOP_LIMIT.log(&[("in_flight", &cut.to_string())]),
+            cut => Event::STOP_LIMIT_REACHED.log(&[("in_flight", &cut.to_string())]),
         }
         traffic.shutdown_background();
         Ok(report)
--- a/crates/sapphiretrackd/src/events.rs
+++ b/crates/sapphiretrackd/src/events.rs
@@ -2,7 +2,7 @@
 
 use log::Level;
 
-/// The target of all events; other records come from libraries.
+/// The log target of all events; records with another target come from libraries.
 pub(crate) const LOG_TARGET: &str = "sapphiretrackd";
 /// The field that carries an event's number.
 const NUMBER_FIELD: &str = "event";
@@ -10,38 +10,38 @@
 /// An event of the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Its number; it never changes its meaning.
+    /// The event's number, which never changes its meaning.
     pub number: u16,
-    /// How bad it is.
+    /// The log level.
     pub level: Level,
-    /// What happened.
+    /// The message.
     pub text: &'static str,
 }
 
 impl Event {
-    /// The daemon serves.
+    /// The router started and serves requests.
     pub const STARTED: Self = Self::new(100, Level::Info, "router started");
     /// A planned stop began.
     pub const STOPPING: Self = Self::new(101, Level::Info, "planned stop began");
     /// The planned stop ended.
     pub const STOPPED: Self = Self::new(102, Level::Info, "planned stop ended");
-    /// The stop limit came before the last request's end.
-    pub const STOP_LIMIT: Self = Self::new(103, Level::Error, "stop limit reached");
-    /// A second signal came during a planned stop.
+    /// The planned stop reached its limit with requests still in flight.
+    pub const STOP_LIMIT_REACHED: Self = Self::new(103, Level::Error, "stop limit reached");
+    /// Another stop signal arrived during a planned stop.
     pub const SIGNAL_IGNORED: Self = Self::new(
         104,
         Level::Warn,
-        "signal ignored, a planned stop is under way",
+        "signal ignored, a planned stop is in progress",
     );
-    /// A configuration came into force.
+    /// A newer configuration came into force.
     pub const CONFIG_IN_FORCE: Self = Self::new(200, Level::Info, "configuration in force");
-    /// An older configuration was offered and dropped.
+    /// A configuration older than the one in force was received and dropped.
     pub const CONFIG_OLDER: Self = Self::new(201, Level::Warn, "older configuration dropped");
     /// The platform cannot be reached.
-    pub const PLATFORM_LOST: Self = Self::new(210, Level::Warn, "platform cannot be reached");
+    pub const PLATFORM_LOST: Self = Self::new(210, Level::Warn, "platform unreachable");
     /// The platform can be reached again.
-    pub const PLATFORM_BACK: Self = Self::new(211, Level::Info, "platform reached again");
-    /// Neither platform nor peers were seen for too long.
+    pub const PLATFORM_RESTORED: Self = Self::new(211, Level::Info, "platform reachable again");
+    /// Neither the platform nor a peer was reached for too long.
     pub const ISOLATED: Self = Self::new(212, Level::Error, "isolated, new work is refused");
     /// The isolation ended.
     pub const REJOINED: Self = Self::new(213, Level::Info, "isolation ended");
@@ -49,68 +49,68 @@
     pub const PEER_JOINED: Self = Self::new(300, Level::Info, "peer joined");
     /// A peer is leaving.
     pub const PEER_LEAVING: Self = Self::new(301, Level::Info, "peer is leaving");
-    /// A peer was not seen for too long.
+    /// A peer has not been seen for too long.
     pub const PEER_LOST: Self = Self::new(302, Level::Warn, "peer lost");
-    /// A peer message was foreign or malformed.
+    /// A peer message had a wrong signature or was malformed.
     pub const PEER_REJECTED: Self = Self::new(303, Level::Warn, "peer message rejected");
     /// A backend server was listed for the first time.
     pub const SERVER_JOINED: Self = Self::new(400, Level::Info, "backend server joined");
     /// A backend server is leaving.
     pub const SERVER_LEAVING: Self = Self::new(401, Level::Info, "backend server is leaving");
-    /// A backend server is gone from the list or does not report.
+    /// A backend server is no longer listed or does not report its load.
     pub const SERVER_LOST: Self = Self::new(402, Level::Warn, "backend server lost");
     /// An attempt failed.
     pub const ATTEMPT_FAILED: Self = Self::new(500, Level::Warn, "attempt failed");
-    /// A late or crossed reply was dropped.
+    /// A reply to another attempt was dropped.
     pub const CROSSED_REPLY: Self = Self::new(501, Level::Error, "crossed reply dropped");
-    /// The answer of a non-idempotent request could not be recorded.
-    pub const RECORD_FAILED: Self = Self::new(502, Level::Warn, "answer was not recorded");
-    /// The control thread stood still; nothing is granted on what it knew before.
-    pub const PAUSED: Self = Self::new(220, Level::Warn, "control thread stood still");
-    /// This router took the lease for orders to engines.
-    pub const LEASE_TAKEN: Self = Self::new(410, Level::Info, "order lease taken");
-    /// An engine took an order.
-    pub const ORDER_TAKEN: Self = Self::new(411, Level::Info, "order taken");
-    /// An engine refused an order: its fencing number is old, or the engine restarted.
+    /// A write of the answer of a non-idempotent request failed.
+    pub const RECORD_FAILED: Self = Self::new(502, Level::Warn, "failed to record an answer");
+    /// The control thread was paused; nothing is granted based on its state before the pause.
+    pub const PAUSED: Self = Self::new(220, Level::Warn, "control thread was paused");
+    /// This router acquired the lease for orders to engines.
+    pub const LEASE_TAKEN: Self = Self::new(410, Level::Info, "order lease acquired");
+    /// An engine accepted an order.
+    pub const ORDER_TAKEN: Self = Self::new(411, Level::Info, "order accepted");
+    /// An engine refused an order: the fencing number is outdated, or the engine restarted.
     pub const ORDER_REFUSED: Self = Self::new(412, Level::Warn, "order refused");
-    /// No reply came to an order; the engine's state tells what became of it.
+    /// There was no reply to an order; the engine's state shows whether it took effect.
     pub const ORDER_LOST: Self = Self::new(413, Level::Warn, "no reply to an order");
 
-    /// The platform had gone back; this router wrote back what it held.
+    /// The platform had lost newer configurations; this router wrote its own back.
     pub const CONFIG_REPUBLISHED: Self = Self::new(
         202,
         Level::Warn,
         "configuration written back to the platform",
     );
-    /// A backend server's attempts failed in a row: it is left out for a while.
-    pub const SERVER_EJECTED: Self = Self::new(503, Level::Warn, "backend server left out");
+    /// Several attempts in a row failed on a backend server: it gets no requests for a while.
+    pub const SERVER_EJECTED: Self = Self::new(503, Level::Warn, "backend server ejected");
     /// Claims past their retention were deleted.
-    pub const CLAIMS_SWEPT: Self = Self::new(504, Level::Info, "old claims deleted");
+    pub const CLAIMS_SWEPT: Self = Self::new(504, Level::Info, "expired claims deleted");
 
-    /// Peers were told where chats are warm, at the planned stop.
+    /// The placement memory was sent to the peers during the planned stop.
     pub const MEMORY_HANDED_OVER: Self =
         Self::new(520, Level::Info, "placement memory handed over");
-    /// A snapshot of a placement memory was taken in, this router's own or that of one that died.
-    pub const MEMORY_READ: Self = Self::new(521, Level::Info, "placement snapshot taken in");
-    /// A router has no snapshot: it is new, or ended before it wrote one.
+    /// A snapshot of a placement memory was merged: this router's own or that of a lost peer.
+    pub const MEMORY_MERGED: Self = Self::new(521, Level::Info, "placement snapshot merged");
+    /// A router has no snapshot: it is new, or it ended before it wrote one.
     pub const MEMORY_MISSING: Self = Self::new(522, Level::Info, "no placement snapshot");
-    /// A snapshot is damaged, another router's or of another format, or was not read.
+    /// A snapshot is damaged, belongs to another router, has another format or could not be read.
     pub const MEMORY_NOT_USED: Self = Self::new(523, Level::Warn, "placement snapshot not used");
     /// This router's snapshot could not be written.
     pub const MEMORY_NOT_WRITTEN: Self =
         Self::new(524, Level::Warn, "placement snapshot not written");
 
-    /// All events, by number.
+    /// All events.
     pub const ALL: &'static [Self] = &[
         Self::STARTED,
         Self::STOPPING,
         Self::STOPPED,
-        Self::STOP_LIMIT,
+        Self::STOP_LIMIT_REACHED,
         Self::SIGNAL_IGNORED,
         Self::CONFIG_IN_FORCE,
         Self::CONFIG_OLDER,
         Self::PLATFORM_LOST,
-        Self::PLATFORM_BACK,
+        Self::PLATFORM_RESTORED,
         Self::ISOLATED,
         Self::REJOINED,
         Self::PEER_JOINED,
@@ -132,7 +132,7 @@
         Self::ORDER_REFUSED,
         Self::ORDER_LOST,
         Self::MEMORY_HANDED_OVER,
-        Self::MEMORY_READ,
+        Self::MEMORY_MERGED,
         Self::MEMORY_MISSING,
         Self::MEMORY_NOT_USED,
         Self::MEMORY_NOT_WRITTEN,
--- a/crates/sapphiretrackd/src/logging.rs
+++ b/crates/sapphiretrackd/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: one line an event, to standard error.
+//! The log: one line per event on standard error.
 
 use std::collections::BTreeMap;
 use std::time::SystemTime;
@@ -9,7 +9,7 @@
 
 use crate::events::LOG_TARGET;
 
-/// How a log line looks.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LogFormat {
     /// `TIME LEVEL TEXT event="N" key="value"`.
@@ -19,7 +19,10 @@
     Json,
 }
 
-/// Starts the log of this process.
+/// Installs the logger of this process, which writes to standard error.
+///
+/// Events of the daemon are logged from `level` on, records of libraries from `Warn` on. Fails if a
+/// logger is already installed.
 pub fn start_logging(format: LogFormat, level: LevelFilter) -> Result<(), log::SetLoggerError> {
     Dispatch::new()
         .level(LevelFilter::Warn)
@@ -33,10 +36,10 @@
         .apply()
 }
 
-/// One line of the log.
+/// Formats a record as a log line; `time_ms` counts from the Unix epoch.
 pub fn log_line(format: LogFormat, time_ms: u64, record: &Record<'_>) -> String {
     let mut fields = Fields::default();
-    // Collecting strings cannot fail.
+    // `Fields` only collects strings and never returns an error.
     drop(record.key_values().visit(&mut fields));
     match format {
         LogFormat::Text => {
@@ -60,7 +63,7 @@
     }
 }
 
-/// The fields of a record.
+/// The fields of a record, in their order.
 #[derive(Default)]
 struct Fields {
     in_order: Vec<(String, String)>,
--- a/crates/sapphiretrackd/src/warm_snapshots.rs
+++ b/crates/sapphiretrackd/src/warm_snapshots.rs
@@ -129,7 +129,7 @@
                     // Wall clocks may differ: the age of the snapshot is an estimate.
                     let age_ms = wall_clock_ms().saturating_sub(snapshot.written_at_ms);
                     let news = self.memory.merge(&snapshot.list, age_ms).to_string();
-                    Event::MEMORY_READ.log(&[fields[0], fields[1], ("news", &news)]);
+                    Event::MEMORY_MERGED.log(&[fields[0], fields[1], ("news", &news)]);
                 }
                 Err(PlatformError::NoWarmSnapshot) => Event::MEMORY_MISSING.log(&fields),
                 Err(error) => {
--- a/crates/sapphiretrackd/tests/events.rs
+++ b/crates/sapphiretrackd/tests/events.rs
@@ -1,18 +1,18 @@
-//! The catalogue of events and the form of log lines.
+//! Tests of the event list in `docs/events.md` and of the format of log lines.
 
 use std::collections::BTreeSet;
 
 use log::{Level, Record};
 use sapphiretrackd::{Event, LogFormat, log_line};
 
-/// From here on numbers belong to the router's own library, whose test compares them.
+/// Numbers from here on belong to `sapphiretrack-router`, whose own test compares them.
 const ROUTER_EVENTS: u16 = 600;
-const CATALOGUE: &str = include_str!("../../../docs/events.md");
+const EVENT_LIST: &str = include_str!("../../../docs/events.md");
 
 #[test]
-fn the_catalogue_lists_exactly_the_events_of_the_code() {
+fn the_event_list_matches_the_code() {
     let mut documented = BTreeSet::new();
-    for line in CATALOGUE.lines() {
+    for line in EVENT_LIST.lines() {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
         let Some(number) = cells.get(1).and_then(|cell| cell.parse::<u16>().ok()) else {
             continue;
@@ -21,27 +21,27 @@
             documented.insert((number, cells[2].to_owned(), cells[3].to_owned()));
         }
     }
-    let coded: BTreeSet<_> = Event::ALL
+    let implemented: BTreeSet<_> = Event::ALL
         .iter()
         .map(|event| (event.number, event.level.to_string(), event.text.to_owned()))
         .collect();
     assert_eq!(
-        coded.len(),
+        implemented.len(),
         Event::ALL.len(),
         "two events share number, level and text"
     );
-    assert_eq!(documented, coded);
+    assert_eq!(documented, implemented);
 }
 
 #[test]
-fn numbers_are_unique() {
+fn event_numbers_are_unique() {
     let numbers: BTreeSet<u16> = Event::ALL.iter().map(|event| event.number).collect();
     assert_eq!(numbers.len(), Event::ALL.len());
     assert!(numbers.iter().all(|number| *number < ROUTER_EVENTS));
 }
 
 #[test]
-fn a_line_carries_number_and_fields_in_both_forms() {
+fn log_lines_contain_the_number_and_the_fields_in_both_formats() {
     let fields = [("event", "400"), ("server", "engine \"1\"")];
     let record = |format| {
         log_line(
