--- a/crates/sapphiretrackd/src/clock.rs
+++ b/crates/sapphiretrackd/src/clock.rs
@@ -1,28 +1,28 @@
-//! Clocks: a monotonic one for all decisions, the wall clock only for records.
+//! A monotonic clock for decisions, and the wall clock for timestamps that are stored or shared.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Counts milliseconds since the daemon started.
+/// Measures the milliseconds since the daemon started.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started: Instant,
 }
 
 impl Clock {
-    /// A clock that starts at 0 now.
+    /// Creates a clock that starts at 0 now.
     pub(crate) fn start() -> Self {
         Self {
             started: Instant::now(),
         }
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start.
     pub(crate) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 }
 
-/// Milliseconds since 1970; may jump.
+/// Returns the milliseconds since the Unix epoch, which may jump in either direction.
 pub(crate) fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/sapphiretrackd/src/entry.rs
+++ b/crates/sapphiretrackd/src/entry.rs
@@ -1,12 +1,14 @@
-//! Which routers a caller connects to.
+//! Answers the lookups by which callers find routers to connect to.
 
 use sapphiretrack_caller::EntryReply;
 use sapphiretrack_core::{EntryCandidate, RouterId, VmRecord, entry_addresses};
 
 use crate::control::Snapshot;
 
-/// Answers a lookup. A router that is cut off sees no peer and refuses work itself: it names
-/// those of the last list instead, one of which may still be in reach of the caller.
+/// Answers a lookup with the addresses of routers.
+///
+/// An isolated router sees no peers and refuses new work itself. It returns the other routers of
+/// the platform's last list instead, since the caller may still reach one of them.
 pub(crate) fn entry_reply(
     snapshot: &Snapshot,
     zone: Option<&str>,
--- a/crates/sapphiretrackd/src/error.rs
+++ b/crates/sapphiretrackd/src/error.rs
@@ -1,39 +1,39 @@
-//! Why a router did not start.
+//! Errors that prevent a router from starting.
 
 use std::net::SocketAddr;
 
 use snafu::Snafu;
 
-/// Why a router did not start.
+/// An error that prevents a router from starting.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DaemonError {
-    /// A thread or runtime cannot be had.
+    /// A thread, a runtime or the signal handlers cannot be started.
     #[snafu(display("the {what} cannot start: {source}"))]
     Thread {
-        /// Which.
+        /// What cannot be started.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The peers' address cannot be used.
+    /// The address for peers cannot be used.
     #[snafu(display("peers cannot be served on {address}: {source}; hint: --peer-address"))]
     Peers {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The callers' endpoint did not start.
+    /// The endpoint for callers did not start.
     #[snafu(display("{source}; hint: --caller-address"))]
     Callers {
-        /// Why.
+        /// The cause.
         source: sapphiretrack_caller::StartError,
     },
-    /// The operators' endpoint did not start.
+    /// The endpoint for operators did not start.
     #[snafu(display("{source}; hint: --operator-address"))]
     Operators {
-        /// Why.
+        /// The cause.
         source: sapphiretrack_operator::StartError,
     },
 }
--- a/crates/sapphiretrackd/src/goals.rs
+++ b/crates/sapphiretrackd/src/goals.rs
@@ -1,4 +1,4 @@
-//! What operators want of engines: desired states, and which pools check fencing numbers.
+//! Operator calls that set the desired state of engines and whether pools check fencing numbers.
 
 use sapphiretrack_core::{EngineGoal, EngineRole, FencingCheck};
 use sapphiretrack_operator::wire::{GoalReply, SetFencing, SetGoal};
@@ -6,7 +6,7 @@
 
 use crate::control::ControlHandle;
 
-/// Runs operators' calls about goals.
+/// Runs the operator calls on goals.
 #[derive(Clone)]
 pub(crate) struct GoalOperations {
     pub(crate) store: GoalStore,
@@ -19,16 +19,16 @@
         let snapshot = self.control.snapshot();
         let mut servers = snapshot.pools.values().flat_map(|pool| &pool.servers);
         if !servers.any(|server| server.name == request.server) {
-            return problem(format!("there is no backend server {:?}", request.server));
+            return error_reply(format!("there is no backend server {:?}", request.server));
         }
-        let goal = match goal_of(&request) {
+        let goal = match parse_goal(&request) {
             Ok(goal) => goal,
-            Err(reason) => return problem(reason),
+            Err(reason) => return error_reply(reason),
         };
         reply(self.store.set_goal(&request.server, &goal).await)
     }
 
-    /// Says whether a pool's engines check fencing numbers.
+    /// Sets whether the engines of a pool check fencing numbers.
     pub(crate) async fn set_fencing(&self, request: SetFencing) -> GoalReply {
         let check = if request.checks {
             FencingCheck::Checks
@@ -39,7 +39,7 @@
     }
 }
 
-fn goal_of(request: &SetGoal) -> Result<EngineGoal, String> {
+fn parse_goal(request: &SetGoal) -> Result<EngineGoal, String> {
     let role = match request.role.as_deref() {
         None => None,
         Some("mixed") => Some(EngineRole::Mixed),
@@ -66,11 +66,11 @@
 fn reply(result: Result<(), sapphiretrack_platform::PlatformError>) -> GoalReply {
     match result {
         Ok(()) => GoalReply { problem: None },
-        Err(error) => problem(format!("{error}; hint: repeat it, that does no harm")),
+        Err(error) => error_reply(format!("{error}; hint: repeat it, that does no harm")),
     }
 }
 
-fn problem(text: String) -> GoalReply {
+fn error_reply(text: String) -> GoalReply {
     GoalReply {
         problem: Some(text),
     }
--- a/crates/sapphiretrackd/src/main.rs
+++ b/crates/sapphiretrackd/src/main.rs
@@ -1,14 +1,14 @@
-//! The router daemon's program.
+//! The command-line program of the router daemon.
 
 use std::process::ExitCode;
 
 use sapphiretrackd::{Daemon, help_text, parse_settings, start_logging};
 
-/// The router cannot start.
+/// Exit code of a router that could not start.
 const EXIT_CANNOT_START: u8 = 1;
-/// The settings are refused.
+/// Exit code for invalid settings.
 const EXIT_BAD_SETTINGS: u8 = 2;
-/// The stop limit came before the last request's end.
+/// Exit code of a planned stop that reached its limit with requests still in flight.
 const EXIT_STOP_LIMIT: u8 = 3;
 
 fn main() -> ExitCode {
@@ -33,7 +33,7 @@
         return ExitCode::SUCCESS;
     }
     if let Err(error) = start_logging(settings.log_format, settings.log_level) {
-        eprintln!("sapphiretrackd: the log cannot start: {error}");
+        eprintln!("sapphiretrackd: cannot start logging: {error}");
         return ExitCode::from(EXIT_CANNOT_START);
     }
     match Daemon::start(settings).and_then(Daemon::run) {
--- a/crates/sapphiretrackd/src/operations.rs
+++ b/crates/sapphiretrackd/src/operations.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a router.
+//! Operator calls on contracts, drains and the state of the router.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use crate::control::{Command, ControlHandle, Snapshot};
 use crate::metrics::Metrics;
 
-/// How long an accepted change may take until it is in force on this router.
+/// How long to wait until an accepted change is in force on this router.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(2);
-/// How often that is looked at.
+/// Interval at which the version in force is checked.
 const IN_FORCE_POLL: Duration = Duration::from_millis(5);
 
-/// Runs operators' calls.
+/// Runs the operator calls.
 #[derive(Clone)]
 pub(crate) struct Operations {
     pub(crate) router_name: String,
@@ -36,18 +36,18 @@
         let contract = match parse_contract(&request.contract_toml) {
             Ok(contract) => Box::new(contract),
             Err(error) => {
-                return refused(error.to_string());
+                return refused_reply(error.to_string());
             }
         };
         let change = Change::Contract {
             contract,
             seen_version: request.seen_version,
         };
-        self.change(request.change_id, &request.operator, &change)
+        self.apply_change(request.change_id, &request.operator, &change)
             .await
     }
 
-    /// Starts or ends a drain.
+    /// Starts or ends the drain of a backend server.
     pub(crate) async fn drain(&self, request: DrainServer) -> ChangeReply {
         let snapshot = self.control.snapshot();
         let known = snapshot.pools.values().any(|pool| {
@@ -56,28 +56,28 @@
                 .any(|server| server.name == request.server)
         });
         if request.draining && !known {
-            return refused(format!("there is no backend server {:?}", request.server));
+            return refused_reply(format!("there is no backend server {:?}", request.server));
         }
         if let Err(error) = check_server_name(&request.server) {
-            return refused(error.to_string());
+            return refused_reply(error.to_string());
         }
         let change = Change::Drain {
             server: request.server,
             draining: request.draining,
         };
-        self.change(request.change_id, &request.operator, &change)
+        self.apply_change(request.change_id, &request.operator, &change)
             .await
     }
 
-    /// What came of a change.
+    /// Returns the outcome of an earlier change.
     pub(crate) async fn outcome_of(&self, change_id: String) -> ChangeReply {
         if let Err(error) = check_change_id(&change_id) {
-            return refused(error.to_string());
+            return refused_reply(error.to_string());
         }
         let newest = self.control.snapshot().newest_version();
         match self.store.settled_outcome_of(&change_id, newest).await {
-            Ok(Some(accepted)) => self.bring_in_force(change_id, accepted.version, None).await,
-            Ok(None) => refused(String::from(
+            Ok(Some(accepted)) => self.activate(change_id, accepted.version, None).await,
+            Ok(None) => refused_reply(String::from(
                 "no change of this id was accepted so far; one that is still on its way may be",
             )),
             Err(error) => ChangeReply::Unknown {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A customer's contract.
+    /// Returns a customer's contract, in its current or a given version.
     pub(crate) async fn show(&self, show: &ShowContract) -> Result<Option<ShownContract>, String> {
         let customer = show.customer.as_str();
         let found = match show.version {
@@ -105,7 +105,7 @@
         }))
     }
 
-    /// All changes.
+    /// Returns all changes.
     pub(crate) async fn history(&self) -> Result<Vec<HistoryLine>, String> {
         let entries = self
             .store
@@ -122,7 +122,7 @@
         Ok(lines.collect())
     }
 
-    /// The router's view.
+    /// Returns the state of the fleet as seen by this router.
     pub(crate) fn status(&self) -> Status {
         let snapshot = self.control.snapshot();
         let mut status = Status {
@@ -140,9 +140,14 @@
         status
     }
 
-    async fn change(&self, change_id: String, operator: &str, change: &Change) -> ChangeReply {
+    async fn apply_change(
+        &self,
+        change_id: String,
+        operator: &str,
+        change: &Change,
+    ) -> ChangeReply {
         if let Err(error) = check_change_id(&change_id) {
-            return refused(error.to_string());
+            return refused_reply(error.to_string());
         }
         let snapshot = self.control.snapshot();
         let known = KnownConfig {
@@ -155,7 +160,7 @@
             .await;
         match applied {
             Ok(ChangeOutcome::Accepted { version, config }) => {
-                self.bring_in_force(change_id, version, config).await
+                self.activate(change_id, version, config).await
             }
             Ok(ChangeOutcome::Refused {
                 current_version,
@@ -166,7 +171,7 @@
                 current_version: Some(current_version),
                 differences,
             },
-            Err(error @ ApplyError::NotApplied { .. }) => refused(error.to_string()),
+            Err(error @ ApplyError::NotApplied { .. }) => refused_reply(error.to_string()),
             Err(error @ ApplyError::Unknown { .. }) => ChangeReply::Unknown {
                 change_id,
                 reason: error.to_string(),
@@ -174,9 +179,9 @@
         }
     }
 
-    /// Says that a change is accepted once this router has it in force: from then on its peers
-    /// get it even if the platform goes down.
-    async fn bring_in_force(
+    /// Puts a change in force on this router, and only then reports it as accepted: from then on the
+    /// peers receive it even if the platform fails.
+    async fn activate(
         &self,
         change_id: String,
         version: u64,
@@ -190,7 +195,7 @@
             };
             match config {
                 Ok(config) => {
-                    self.keep_snapshot(config.clone());
+                    self.spawn_snapshot_write(config.clone());
                     self.control.send(Command::OfferConfig(config));
                 }
                 Err(error) => {
@@ -213,14 +218,15 @@
         }
     }
 
-    /// Writes the snapshot beside the answer, if one is due; a later one makes up for a failure.
-    fn keep_snapshot(&self, config: Arc<FleetConfig>) {
+    /// Writes the configuration snapshot in the background if one is due. A failure is ignored,
+    /// since a later snapshot replaces this one.
+    fn spawn_snapshot_write(&self, config: Arc<FleetConfig>) {
         let store = self.store.clone();
         tokio::spawn(async move { drop(store.keep_snapshot(&config).await) });
     }
 }
 
-fn refused(reason: String) -> ChangeReply {
+fn refused_reply(reason: String) -> ChangeReply {
     ChangeReply::Refused {
         reason,
         current_version: None,
--- a/crates/sapphiretrackd/src/signals.rs
+++ b/crates/sapphiretrackd/src/signals.rs
@@ -1,9 +1,9 @@
-//! Signals: each SIGTERM or SIGINT asks for a planned stop.
+//! Signal handling: SIGTERM and SIGINT request a planned stop.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// Sends a message for each signal that asks for a stop.
+/// Returns a channel that receives a message for each stop signal.
 pub(crate) fn stop_signals() -> std::io::Result<mpsc::UnboundedReceiver<()>> {
     let (sender, receiver) = mpsc::unbounded_channel();
     for kind in [SignalKind::terminate(), SignalKind::interrupt()] {
--- a/crates/sapphiretrackd/src/sweep.rs
+++ b/crates/sapphiretrackd/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes old claims, slowly: one router of a cell at a time.
+//! Deletes expired claims at a limited rate, on one router of a cell at a time.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 use crate::control::{ControlHandle, Snapshot};
 use crate::events::Event;
 
-/// The mean time between two looks at the oldest claims.
-const SWEEP_EVERY_MS: u64 = 60_000;
-/// The pause between two transactions of a sweep.
-const NEXT_PAGE: Duration = Duration::from_secs(1);
-/// How long a router sweeps before another one's turn.
+/// The mean interval between sweeps.
+const MEAN_SWEEP_INTERVAL_MS: u64 = 60_000;
+/// The delay between two transactions of a sweep.
+const PAGE_DELAY: Duration = Duration::from_secs(1);
+/// How long one router sweeps before the next one takes over.
 const TURN_MS: u64 = 60 * 60 * 1_000;
 
 /// Sweeps until the process ends.
 pub(crate) async fn sweep_claims(claims: ClaimStore, control: ControlHandle) {
     loop {
-        // Spread, so that routers of many cells do not sweep the same rows at once.
-        let wait_ms = SWEEP_EVERY_MS / 2 + rand::random::<u64>() % SWEEP_EVERY_MS;
+        // A random delay, so that routers of different cells do not sweep the same rows at once.
+        let wait_ms = MEAN_SWEEP_INTERVAL_MS / 2 + rand::random::<u64>() % MEAN_SWEEP_INTERVAL_MS;
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
         if is_my_turn(&control.snapshot(), wall_clock_ms()) {
             sweep_all(&claims).await;
@@ -32,18 +32,18 @@
     let mut deleted = 0;
     while let Ok(swept) = claims.sweep(wall_clock_ms()).await {
         deleted += swept.deleted;
-        // Nothing deleted though there is more: another router is at it.
+        // If nothing was deleted although more is left, another router is sweeping.
         if !swept.more || swept.deleted == 0 {
             break;
         }
-        tokio::time::sleep(NEXT_PAGE).await;
+        tokio::time::sleep(PAGE_DELAY).await;
     }
     if deleted > 0 {
         Event::CLAIMS_SWEPT.log(&[("claims", &deleted.to_string())]);
     }
 }
 
-/// Whether this router sweeps for its cell now; the turn goes round by the hour.
+/// Returns whether this router sweeps for its cell now; the turn changes every [`TURN_MS`].
 fn is_my_turn(snapshot: &Snapshot, now_ms: u64) -> bool {
     let turn = now_ms / TURN_MS;
     snapshot
