--- a/crates/sapphiretrackd/src/daemon.rs
+++ b/crates/sapphiretrackd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a router, and stops it as planned.
+//! Starts a router and runs its planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::control::{Command, ControlHandle, Identity};
 use crate::error::{DaemonError, PeersSnafu, ThreadSnafu};
 use crate::events::Event;
-use crate::hand_over::{HandOver, pass_on};
+use crate::hand_over::{HandOver, hand_over_memory};
 use crate::metrics::Metrics;
 use crate::parts::{Endpoints, Parts};
 use crate::settings::Settings;
@@ -27,13 +27,13 @@
 use crate::sweep::sweep_claims;
 use crate::warm_snapshots::WarmSnapshots;
 
-/// How long a planned stop waits for what is passed on, after the last request.
-const PASS_ON_WAIT: Duration = Duration::from_secs(1);
+/// How long a planned stop waits for the hand-over of the placement memory after the last request.
+const HAND_OVER_WAIT: Duration = Duration::from_secs(1);
 
 /// How a planned stop ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopReport {
-    /// Requests that were still in flight when the stop limit came; 0 for a clean stop.
+    /// Requests that were still in flight at the stop limit; 0 for a clean stop.
     pub cut_requests: u64,
 }
 
@@ -54,6 +54,8 @@
 
 impl Daemon {
     /// Starts all threads and endpoints.
+    ///
+    /// Fails if a thread cannot be started or an address cannot be bound.
     pub fn start(settings: Settings) -> Result<Self, DaemonError> {
         let traffic = Builder::new_multi_thread()
             .worker_threads(settings.traffic_threads)
@@ -72,8 +74,8 @@
                 })?;
         let parts = Parts::new(&settings);
         let key = SigningKey::new(&settings.cell_key);
-        let serving = sapphiretrack_peer::serve(settings.peer_address, key, parts.peer_handlers());
-        let (peer_address, accepting) = control_runtime.block_on(serving).context(PeersSnafu {
+        let starting = sapphiretrack_peer::serve(settings.peer_address, key, parts.peer_handlers());
+        let (peer_address, accepting) = control_runtime.block_on(starting).context(PeersSnafu {
             address: settings.peer_address,
         })?;
         let endpoints = parts.start_endpoints(&settings, &traffic)?;
@@ -133,27 +135,29 @@
         Ok(daemon)
     }
 
-    /// Where callers are served.
+    /// Returns the address that serves callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.callers.local_address()
     }
 
-    /// Where operators are served.
+    /// Returns the address that serves operators.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators.local_addr()
     }
 
-    /// Where peers are served.
+    /// Returns the address that serves peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Asks for the planned stop, as a signal does.
+    /// Requests the planned stop, as a signal does.
     pub fn request_stop(&self) {
         self.stop.notify_one();
     }
 
-    /// Serves until a signal or an operator asks for the planned stop, and until that ended.
+    /// Serves until a signal or an operator requests the planned stop, and until that stop ends.
+    ///
+    /// Fails if the signal handlers cannot be installed.
     pub fn run(self) -> Result<StopReport, DaemonError> {
         let Self {
             settings,
@@ -182,12 +186,16 @@
             Event::STOPPING.log(&[("router", &settings.router_name)]);
             control.send(Command::Stop);
             let limit = tokio::time::Instant::now() + Duration::from_millis(settings.stop_limit_ms);
-            let told = tokio::spawn(pass_on(hand_over, snapshots, settings.entry_ttl_ms));
-            stopping.serve_on(&settings, &metrics, limit).await;
-            // What is not passed on by then costs warmth only.
-            let told_by = limit.min(tokio::time::Instant::now() + PASS_ON_WAIT);
-            drop(tokio::time::timeout_at(told_by, told).await);
-            // Closing ends idle connections and waits for requests that came meanwhile.
+            let handed_over = tokio::spawn(hand_over_memory(
+                hand_over,
+                snapshots,
+                settings.entry_ttl_ms,
+            ));
+            stopping.drain_requests(&settings, &metrics, limit).await;
+            // Chats that are not handed over by then only lose their cached tokens.
+            let hand_over_limit = limit.min(tokio::time::Instant::now() + HAND_OVER_WAIT);
+            drop(tokio::time::timeout_at(hand_over_limit, handed_over).await);
+            // Closes idle connections and waits for requests that arrived in the meantime.
             let close = async {
                 callers.close().await;
                 drop(operators.close().await);
--- a/crates/sapphiretrackd/src/dispatch/attempts.rs
+++ b/crates/sapphiretrackd/src/dispatch/attempts.rs
@@ -1,4 +1,4 @@
-//! What chats and service calls share: a slot for an attempt, and what follows a failed one.
+//! Attempts of chat requests and service calls: reserving a slot and handling failures.
 
 use std::time::{Duration, Instant};
 
@@ -11,15 +11,15 @@
 
 use crate::control::Snapshot;
 use crate::dispatch::Dispatcher;
-use crate::dispatch::slots::{Slot, WantedSlot};
+use crate::dispatch::slots::{Slot, SlotRequest};
 use crate::events::Event;
 
-/// When to come back after attempts that failed.
-const FAILED_RETRY_MS: u64 = 1_000;
+/// Retry delay that callers are told after the last attempt failed.
+const FAILED_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Dispatcher {
-    /// A slot for a request's next attempt, by its deadline.
-    pub(crate) async fn slot(
+    /// Reserves a slot for the next attempt of a request, waiting at most until its deadline.
+    pub(crate) async fn reserve_slot(
         &self,
         snapshot: &Snapshot,
         request: &CallerRequest,
@@ -30,31 +30,31 @@
         let now_ms = self.clock.now_ms();
         let candidates = self.health.filter(candidates, now_ms);
         let pool = request.pool();
-        let by_class = self.health.bound_share(pool, &request.policy, now_ms);
-        let by_customer = self.limits.bound_share(&request.contract.customer, pool);
-        // What is left free for other customers sheds no class.
-        let share = (by_class * by_customer).max(by_class.min(SHED_BELOW_SHARE));
-        let fresh = WantedSlot {
+        let class_share = self.health.bound_share(pool, &request.policy, now_ms);
+        let customer_share = self.limits.bound_share(&request.contract.customer, pool);
+        // The customer's share alone must not lower the bound so far that a class counts as shed.
+        let share = (class_share * customer_share).max(class_share.min(SHED_BELOW_SHARE));
+        let untried = SlotRequest {
             pool,
             bound_share: share,
             tried: log.tried(),
             deadline,
         };
         let reserved = async {
-            let slot = self.reserve(&fresh, &candidates).await;
+            let slot = self.reserve(&untried, &candidates).await;
             if slot.is_some() || log.attempts() == 0 {
                 return slot;
             }
-            // No other server has room: one that failed may do better now.
-            let any = WantedSlot {
+            // No untried server has room, so a server that failed before may be tried again.
+            let any = SlotRequest {
                 tried: &[],
-                ..fresh
+                ..untried
             };
             self.reserve(&any, &candidates).await
         };
         match tokio::time::timeout_at(deadline.into(), reserved).await {
             Ok(Some(slot)) => Ok(slot),
-            Ok(None) => Err(log.correct(self.no_server(snapshot, pool))),
+            Ok(None) => Err(log.correct(self.no_server_refusal(snapshot, pool))),
             Err(_) => {
                 let message = "the deadline of the class passed";
                 Err(log.refusal(RefusalCode::DeadlinePassed, message))
@@ -62,8 +62,11 @@
         }
     }
 
-    /// Decides whether another attempt follows a failed one, and waits until it may.
-    pub(crate) async fn after_failure(
+    /// Waits for the backoff of the next attempt after a failed one.
+    ///
+    /// Returns a refusal if there is no next attempt: a repeat is not safe or not allowed, the
+    /// retry budget is used up, or the deadline comes before the end of the backoff.
+    pub(crate) async fn prepare_retry(
         &self,
         request: &CallerRequest,
         log: &mut AttemptLog,
@@ -71,8 +74,8 @@
         error: &BackendError,
         deadline: Instant,
     ) -> Result<(), Refusal> {
-        self.note_leaving(slot, error);
-        self.note_attempt_failed(slot, error);
+        self.report_leaving_server(slot, error);
+        self.record_attempt_failure(slot, error);
         let failure = if error.is_not_run() {
             AttemptFailure::NotRun
         } else {
@@ -82,7 +85,7 @@
         let code = RefusalCode::ServerFailed;
         if next == NextStep::GiveUp {
             let refusal = log.refusal(code, error.to_string());
-            return Err(refusal.retry_after(FAILED_RETRY_MS));
+            return Err(refusal.retry_after(FAILED_RETRY_AFTER_MS));
         }
         if !self.try_retry() {
             let message = format!("{error}; the retry budget is used up");
@@ -99,20 +102,20 @@
         Ok(())
     }
 
-    /// Notes an attempt that ended well.
-    pub(crate) fn note_attempt_well(&self, slot: &Slot) {
+    /// Records a successful attempt.
+    pub(crate) fn record_attempt_success(&self, slot: &Slot) {
         self.health
-            .note_attempt(slot.server, true, self.clock.now_ms());
+            .record_attempt(slot.server, true, self.clock.now_ms());
     }
 
-    /// Notes a whole answer.
-    pub(crate) fn note_answer(&self, request: &CallerRequest, took: Duration) {
+    /// Records the time of a complete answer.
+    pub(crate) fn record_completion(&self, request: &CallerRequest, took: Duration) {
         let labels = self
             .metrics
             .labels(&request.contract.customer, &request.class);
-        self.metrics.whole_answer(&labels, took.as_secs_f64());
+        self.metrics.record_answer(&labels, took.as_secs_f64());
         let took_ms = took.as_millis() as u64;
-        self.health.note_answer(
+        self.health.record_answer(
             request.pool(),
             &request.policy,
             took_ms,
@@ -120,10 +123,10 @@
         );
     }
 
-    /// Notes a request whose deadline passed while it ran.
-    pub(crate) fn note_late(&self, request: &CallerRequest) {
+    /// Records a request whose deadline passed while it ran, with its deadline as its time.
+    pub(crate) fn record_deadline_exceeded(&self, request: &CallerRequest) {
         let deadline_ms = request.policy.deadline_ms;
-        self.health.note_answer(
+        self.health.record_answer(
             request.pool(),
             &request.policy,
             deadline_ms,
@@ -131,26 +134,26 @@
         );
     }
 
-    fn note_attempt_failed(&self, slot: &Slot, error: &BackendError) {
+    fn record_attempt_failure(&self, slot: &Slot, error: &BackendError) {
         let name = format!("{:016x}", slot.server.0);
         Event::ATTEMPT_FAILED.log(&[("server", &name), ("reason", &error.to_string())]);
         if matches!(error, BackendError::Crossed { .. }) {
             Event::CROSSED_REPLY.log(&[("server", &name)]);
             self.metrics.crossed_replies.inc();
         }
-        // A refusal to start is the server's word that it is well and full.
+        // A server that refuses to start a request is healthy but full.
         if matches!(error, BackendError::NotStarted { .. }) {
             return;
         }
         if self
             .health
-            .note_attempt(slot.server, false, self.clock.now_ms())
+            .record_attempt(slot.server, false, self.clock.now_ms())
         {
             Event::SERVER_EJECTED.log(&[("server", &name)]);
         }
     }
 
-    fn no_server(&self, snapshot: &Snapshot, pool: &str) -> Refusal {
+    fn no_server_refusal(&self, snapshot: &Snapshot, pool: &str) -> Refusal {
         let has_live = snapshot
             .pools
             .get(pool)
--- a/crates/sapphiretrackd/src/dispatch/chat.rs
+++ b/crates/sapphiretrackd/src/dispatch/chat.rs
@@ -1,4 +1,4 @@
-//! Chat requests: one stream to the caller, over as many attempts as it takes.
+//! Chat requests: one stream to the caller, produced by one or more attempts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,24 +13,24 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::control::Snapshot;
-use crate::dispatch::claimed::{Claimed, HeldClaim, Once};
+use crate::dispatch::claimed::{AtMostOnce, ClaimOutcome, HeldClaim};
 use crate::dispatch::slots::Slot;
-use crate::dispatch::warm::{read_warm, write_warm};
-use crate::dispatch::whole::{WholeChat, collect_whole, replay_chat};
+use crate::dispatch::warm::{encode_warm_hint, parse_warm_hint};
+use crate::dispatch::whole::{ChatCompletion, collect_completion, replay_completion};
 use crate::dispatch::{Dispatcher, chat_key, new_attempt, workspace_key};
-use crate::limits::InFlightPlace;
+use crate::limits::InFlightPermit;
 
-/// Events that wait for a slow caller; beyond them the engine's stream waits.
+/// Events buffered for a slow caller; if the buffer is full, reading from the engine pauses.
 const BUFFERED_EVENTS: usize = 32;
-/// How long the last event waits for a caller that does not read.
+/// How long to wait for a caller to take the last event.
 const LAST_EVENT_WAIT: Duration = Duration::from_secs(5);
 
-/// Runs a chat request; a non-idempotent one at most once.
+/// Runs a chat request, at most once if it is non-idempotent.
 pub(crate) async fn run_chat(
     dispatcher: Arc<Dispatcher>,
     request: CallerRequest,
-    place: InFlightPlace,
-    once: Option<Once>,
+    permit: InFlightPermit,
+    at_most_once: Option<AtMostOnce>,
 ) -> Answer {
     let Target::Chat(call) = &request.target else {
         let message = "the request is no chat";
@@ -40,14 +40,14 @@
     let model = call.model.clone();
     let (events, receiver) = mpsc::channel(BUFFERED_EVENTS);
     let (started, first) = oneshot::channel();
-    let run = ChatRun::new(dispatcher, request, events, once);
+    let run = ChatRun::new(dispatcher, request, events, at_most_once);
     tokio::spawn(async move {
         run.run(started).await;
-        drop(place);
+        drop(permit);
     });
     let warm = match first.await {
-        Ok(Start::Begins { warm }) => warm,
-        Ok(Start::Recorded(answer)) => return replay_chat(answer, wants_stream),
+        Ok(Start::Stream { warm }) => warm,
+        Ok(Start::Recorded(answer)) => return replay_completion(answer, wants_stream),
         Ok(Start::Refused(refusal)) => return Answer::Refused(refusal),
         Err(_) => {
             let message = "the request's task ended early";
@@ -60,10 +60,10 @@
             events: receiver,
         };
     }
-    collect_whole(receiver, warm, &model).await
+    collect_completion(receiver, warm, &model).await
 }
 
-/// One chat request on its way.
+/// A chat request in progress.
 struct ChatRun {
     dispatcher: Arc<Dispatcher>,
     request: CallerRequest,
@@ -73,49 +73,49 @@
     started_at: Instant,
     deadline: Instant,
     log: AttemptLog,
-    once: Option<Once>,
-    held: Option<HeldClaim>,
-    whole: Option<WholeChat>,
+    at_most_once: Option<AtMostOnce>,
+    held_claim: Option<HeldClaim>,
+    completion: Option<ChatCompletion>,
 }
 
 /// How an attempt ended.
 enum AttemptEnd {
-    /// The whole answer came; its last chunk is still to go out.
-    Whole { reason: String, usage: Usage },
-    /// The caller left.
-    CallerLeft,
+    /// The answer is complete; its last chunk has not been sent yet.
+    Complete { reason: String, usage: Usage },
+    /// The caller disconnected.
+    CallerDisconnected,
     /// The attempt failed.
     Failed(BackendError),
     /// The deadline passed.
-    Late,
+    DeadlinePassed,
 }
 
 /// How an answer starts.
 enum Start {
-    /// A stream begins.
-    Begins {
-        /// Where the chat is warm.
+    /// The answer is streamed.
+    Stream {
+        /// The warm hint for the caller.
         warm: String,
     },
-    /// The request ran before.
+    /// The request ran before; this is its recorded answer.
     Recorded(WholeAnswer),
-    /// There is no answer.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// Tells once how the answer starts.
-type Started = Option<oneshot::Sender<Start>>;
+/// Sends how the answer starts; empty once that is sent.
+type StartSender = Option<oneshot::Sender<Start>>;
 
 impl ChatRun {
     fn new(
         dispatcher: Arc<Dispatcher>,
         request: CallerRequest,
         events: mpsc::Sender<StreamEvent>,
-        once: Option<Once>,
+        at_most_once: Option<AtMostOnce>,
     ) -> Self {
         let started_at = Instant::now();
         let answer_id = new_attempt().to_string();
-        let repeatable = match once {
+        let repeatable = match at_most_once {
             Some(_) => Repeatable::OnlyIfNotRun,
             None => Repeatable::Always,
         };
@@ -124,12 +124,12 @@
             started_at,
             deadline: started_at + Duration::from_millis(request.policy.deadline_ms),
             log: AttemptLog::new(repeatable),
-            whole: once
+            completion: at_most_once
                 .is_some()
-                .then(|| WholeChat::new(&answer_id, request.pool())),
+                .then(|| ChatCompletion::new(&answer_id, request.pool())),
             answer_id,
-            once,
-            held: None,
+            at_most_once,
+            held_claim: None,
             dispatcher,
             request,
             events,
@@ -142,20 +142,20 @@
             return;
         };
         if refusal.outcome == Outcome::NotRun
-            && let Some(held) = &self.held
+            && let Some(held) = &self.held_claim
         {
             self.dispatcher.withdraw(held);
         }
-        self.give_up(started, refusal).await;
+        self.send_refusal(started, refusal).await;
     }
 
-    async fn run_attempts(&mut self, started: &mut Started) -> Result<(), Refusal> {
+    async fn run_attempts(&mut self, started: &mut StartSender) -> Result<(), Refusal> {
         loop {
             let snapshot = self.dispatcher.control.snapshot();
             let candidates = self.candidates(&snapshot);
             let slot = self
                 .dispatcher
-                .slot(
+                .reserve_slot(
                     &snapshot,
                     &self.request,
                     candidates,
@@ -170,45 +170,51 @@
                 return Ok(());
             }
             match self.attempt(&slot, started).await {
-                AttemptEnd::Whole { reason, usage } => {
-                    self.dispatcher.note_attempt_well(&slot);
+                AttemptEnd::Complete { reason, usage } => {
+                    self.dispatcher.record_attempt_success(&slot);
                     drop(slot);
                     self.finish(reason, usage).await;
                     return Ok(());
                 }
-                AttemptEnd::CallerLeft => {
-                    if let (Some(held), Outcome::NotRun) = (&self.held, self.log.outcome()) {
+                AttemptEnd::CallerDisconnected => {
+                    if let (Some(held), Outcome::NotRun) = (&self.held_claim, self.log.outcome()) {
                         self.dispatcher.withdraw(held);
                     }
                     return Ok(());
                 }
-                AttemptEnd::Late => {
-                    self.dispatcher.note_late(&self.request);
+                AttemptEnd::DeadlinePassed => {
+                    self.dispatcher.record_deadline_exceeded(&self.request);
                     let message = "the deadline of the class passed";
                     return Err(self.log.refusal(RefusalCode::DeadlinePassed, message));
                 }
                 AttemptEnd::Failed(error) => {
                     if matches!(error, BackendError::Late) && self.log.delivered_tokens() == 0 {
-                        self.dispatcher.note_late(&self.request);
+                        self.dispatcher.record_deadline_exceeded(&self.request);
                     }
                     let deadline = self.deadline;
                     self.dispatcher
-                        .after_failure(&self.request, &mut self.log, &slot, &error, deadline)
+                        .prepare_retry(&self.request, &mut self.log, &slot, &error, deadline)
                         .await?;
                 }
             }
         }
     }
 
-    /// Claims a non-idempotent request before its first attempt; gives its answer if it ran.
+    /// Claims a non-idempotent request before its first attempt.
+    ///
+    /// Returns the recorded answer if the request ran before.
     async fn claim(&mut self) -> Result<Option<WholeAnswer>, Refusal> {
-        let (Some(once), None) = (&self.once, &self.held) else {
+        let (Some(at_most_once), None) = (&self.at_most_once, &self.held_claim) else {
             return Ok(None);
         };
-        match self.dispatcher.take_claim(&self.request, once).await? {
-            Claimed::Recorded(answer) => Ok(Some(answer)),
-            Claimed::Held(held) => {
-                self.held = Some(held);
+        match self
+            .dispatcher
+            .acquire_claim(&self.request, at_most_once)
+            .await?
+        {
+            ClaimOutcome::Recorded(answer) => Ok(Some(answer)),
+            ClaimOutcome::Held(held) => {
+                self.held_claim = Some(held);
                 if Instant::now() < self.deadline {
                     return Ok(None);
                 }
@@ -222,13 +228,13 @@
         let Some(pool) = snapshot.pools.get(self.request.pool()) else {
             return Vec::new();
         };
-        let told = self.request.warm.as_deref().and_then(read_warm);
-        let remembered = self.dispatcher.memory.recall(self.chat);
-        let warm: Vec<WarmHint> = told.into_iter().chain(remembered).collect();
+        let from_caller = self.request.warm.as_deref().and_then(parse_warm_hint);
+        let from_memory = self.dispatcher.memory.recall(self.chat);
+        let warm: Vec<WarmHint> = from_caller.into_iter().chain(from_memory).collect();
         let workspace = workspace_key(&self.request);
         let placement = PlacementRequest {
             workspace,
-            workspace_share: self.dispatcher.note_workspace(workspace),
+            workspace_share: self.dispatcher.count_workspace_request(workspace),
             chat: self.chat,
             prompt_tokens: self.call().map_or(0, |call| call.prompt_tokens),
             warm: &warm,
@@ -238,26 +244,30 @@
         rank_servers(&self.dispatcher.placement, pool, &placement)
     }
 
-    async fn attempt(&mut self, slot: &Slot, started: &mut Started) -> AttemptEnd {
+    async fn attempt(&mut self, slot: &Slot, started: &mut StartSender) -> AttemptEnd {
         let deadline = tokio::time::Instant::from_std(self.deadline);
         let events = self.events.clone();
-        // A non-idempotent request goes on without its caller, so that its answer is recorded.
-        let goes_on = self.once.is_some();
-        let caller_left = async move {
-            match goes_on {
+        // A non-idempotent request continues without its caller so that its answer is recorded.
+        let ignores_disconnect = self.at_most_once.is_some();
+        let disconnected = async move {
+            match ignores_disconnect {
                 true => std::future::pending().await,
                 false => events.closed().await,
             }
         };
         tokio::select! {
             biased;
-            () = caller_left => AttemptEnd::CallerLeft,
-            () = tokio::time::sleep_until(deadline) => AttemptEnd::Late,
-            end = self.attempt_untimed(slot, started) => end,
+            () = disconnected => AttemptEnd::CallerDisconnected,
+            () = tokio::time::sleep_until(deadline) => AttemptEnd::DeadlinePassed,
+            end = self.attempt_without_deadline(slot, started) => end,
         }
     }
 
-    async fn attempt_untimed(&mut self, slot: &Slot, started: &mut Started) -> AttemptEnd {
+    async fn attempt_without_deadline(
+        &mut self,
+        slot: &Slot,
+        started: &mut StartSender,
+    ) -> AttemptEnd {
         self.log.begin(slot.server);
         match self.forward(slot, started).await {
             Ok(end) => end,
@@ -265,32 +275,33 @@
         }
     }
 
-    /// Starts an attempt and forwards its pieces.
+    /// Starts an attempt and forwards its pieces to the caller.
     async fn forward(
         &mut self,
         slot: &Slot,
-        started: &mut Started,
+        started: &mut StartSender,
     ) -> Result<AttemptEnd, BackendError> {
         let idle = Duration::from_millis(idle_timeout_ms(self.request.policy.deadline_ms));
         let (mut answer, mut piece) = self.first_piece(slot).await?;
         let mut finish = None;
         loop {
-            self.note_start(slot, started);
+            self.send_start(slot, started);
             match piece {
                 Piece::Token(text) => {
                     self.log.deliver();
                     if !self.send(Some(text), None, None).await {
-                        return Ok(AttemptEnd::CallerLeft);
+                        return Ok(AttemptEnd::CallerDisconnected);
                     }
                 }
-                // Held back until the end, so that a cut between both gives no second last chunk.
+                // Sent only after the end: if the stream breaks in between, the next attempt
+                // would otherwise send a second last chunk.
                 Piece::Finish { reason, usage } => finish = Some((reason, usage)),
                 Piece::End => break,
             }
-            piece = in_time(idle, answer.next()).await?;
+            piece = with_timeout(idle, answer.next()).await?;
         }
         let (reason, usage) = finish.unwrap_or_default();
-        Ok(AttemptEnd::Whole { reason, usage })
+        Ok(AttemptEnd::Complete { reason, usage })
     }
 
     async fn first_piece(&self, slot: &Slot) -> Result<(AnswerStream, Piece), BackendError> {
@@ -308,12 +319,12 @@
             resume_tokens: self.log.delivered_tokens(),
             import_from: slot.import_from,
         };
-        // A non-idempotent request has no other attempt to leave time for.
-        let wait_ms = match self.once {
+        // A non-idempotent request reserves no time for another attempt.
+        let wait_ms = match self.at_most_once {
             Some(_) => left_ms,
             None => first_token_timeout_ms(left_ms),
         };
-        in_time(Duration::from_millis(wait_ms), async {
+        with_timeout(Duration::from_millis(wait_ms), async {
             let mut answer = self.dispatcher.backend.chat(slot.address, &attempt).await?;
             let piece = answer.next().await?;
             Ok((answer, piece))
@@ -321,8 +332,8 @@
         .await
     }
 
-    /// Tells the caller that the answer begins, and where the chat is warm from now on.
-    fn note_start(&mut self, slot: &Slot, started: &mut Started) {
+    /// Reports the start of the answer once, and remembers the server that holds the chat's tokens.
+    fn send_start(&mut self, slot: &Slot, started: &mut StartSender) {
         let Some(sender) = started.take() else { return };
         let hint = WarmHint {
             server: slot.server,
@@ -333,12 +344,12 @@
         self.dispatcher.memory.remember(self.chat, hint);
         let metrics = &self.dispatcher.metrics;
         let labels = metrics.labels(&self.request.contract.customer, &self.request.class);
-        metrics.first_token(&labels, self.started_at.elapsed().as_secs_f64());
-        let warm = write_warm(hint);
-        drop(sender.send(Start::Begins { warm }));
+        metrics.record_first_token(&labels, self.started_at.elapsed().as_secs_f64());
+        let warm = encode_warm_hint(hint);
+        drop(sender.send(Start::Stream { warm }));
     }
 
-    /// Sends a chunk; false if the caller left and the request need not go on.
+    /// Sends a chunk. Returns false if the caller disconnected and the request can be abandoned.
     async fn send(
         &mut self,
         text: Option<String>,
@@ -356,40 +367,40 @@
             }],
             usage,
         };
-        if let Some(whole) = &mut self.whole {
-            whole.add(chunk.clone());
+        if let Some(completion) = &mut self.completion {
+            completion.append(chunk.clone());
         }
         let event = StreamEvent::Chunk(Box::new(chunk));
-        self.events.send(event).await.is_ok() || self.once.is_some()
+        self.events.send(event).await.is_ok() || self.at_most_once.is_some()
     }
 
-    /// Sends the last chunk and the end, once the answer is recorded where it must be.
+    /// Sends the last chunk, then the end. The answer of a claimed request is recorded in between.
     async fn finish(&mut self, reason: String, usage: Usage) {
-        // The engine that ended the answer may count only its own part.
+        // After a resumed attempt, the last engine may count only its own tokens.
         let usage = Usage {
             completion_tokens: self.log.delivered_tokens(),
             ..usage
         };
         let sent = self.send(None, Some(reason), Some(usage));
-        let taken = tokio::time::timeout(LAST_EVENT_WAIT, sent).await.is_ok();
-        if let (Some(held), Some(whole)) = (&self.held, &self.whole) {
+        let was_sent = tokio::time::timeout(LAST_EVENT_WAIT, sent).await.is_ok();
+        if let (Some(held), Some(completion)) = (&self.held_claim, &self.completion) {
             let answer = RecordedAnswer {
                 status: 200,
                 content_type: String::from("application/json"),
-                body: whole.to_json().into(),
+                body: completion.to_json().into(),
             };
-            self.dispatcher.record(held, answer).await;
+            self.dispatcher.record_answer(held, answer).await;
         }
-        self.note_whole(usage);
-        if taken {
-            self.send_last(StreamEvent::End).await;
+        self.record_completion(usage);
+        if was_sent {
+            self.send_final_event(StreamEvent::End).await;
         }
     }
 
-    fn note_whole(&self, usage: Usage) {
+    fn record_completion(&self, usage: Usage) {
         let metrics = &self.dispatcher.metrics;
         self.dispatcher
-            .note_answer(&self.request, self.started_at.elapsed());
+            .record_completion(&self.request, self.started_at.elapsed());
         metrics.prompt_tokens.inc_by(u64::from(usage.prompt_tokens));
         metrics.cached_tokens.inc_by(u64::from(usage.cached_tokens));
         self.dispatcher.limits.charge_tokens(
@@ -399,17 +410,18 @@
         );
     }
 
-    async fn give_up(&self, started: Started, refusal: Refusal) {
+    async fn send_refusal(&self, started: StartSender, refusal: Refusal) {
         if let Some(sender) = started {
             drop(sender.send(Start::Refused(refusal)));
             return;
         }
-        self.dispatcher.metrics.refused(refusal.code);
-        self.send_last(StreamEvent::Error(refusal)).await;
+        self.dispatcher.metrics.count_refusal(refusal.code);
+        self.send_final_event(StreamEvent::Error(refusal)).await;
     }
 
-    /// Sends the last event. If the caller does not take it, the stream is cut, not ended.
-    async fn send_last(&self, event: StreamEvent) {
+    /// Sends the last event. If the caller does not take it in time, the stream breaks off without
+    /// an end.
+    async fn send_final_event(&self, event: StreamEvent) {
         drop(tokio::time::timeout(LAST_EVENT_WAIT, self.events.send(event)).await);
     }
 
@@ -421,8 +433,8 @@
     }
 }
 
-/// The result of `work`, or [`BackendError::Late`] after `limit`.
-async fn in_time<Value, Work>(limit: Duration, work: Work) -> Result<Value, BackendError>
+/// Returns the result of `work`, or [`BackendError::Late`] after `limit`.
+async fn with_timeout<Value, Work>(limit: Duration, work: Work) -> Result<Value, BackendError>
 where
     Work: Future<Output = Result<Value, BackendError>>,
 {
--- a/crates/sapphiretrackd/src/dispatch/claimed.rs
+++ b/crates/sapphiretrackd/src/dispatch/claimed.rs
@@ -1,33 +1,33 @@
-//! The claim under which a non-idempotent request is sent.
+//! Claims of non-idempotent requests.
 
 use sapphiretrack_caller::{RequestToken, WholeAnswer};
 use sapphiretrack_core::Claim;
 
-/// How a non-idempotent request is kept from running twice.
-pub(crate) struct Once {
-    /// The key under which it is claimed; without one there can be no repeat to guard against.
-    pub(super) key: Option<String>,
+/// Marks a request that must run at most once.
+pub(crate) struct AtMostOnce {
+    /// The idempotency key of its claim; without one a repeat cannot be recognized.
+    pub(super) idempotency_key: Option<String>,
 }
 
-/// What a look at the claim gave.
-pub(crate) enum Claimed {
-    /// The request may be sent, under this claim.
+/// The result of claiming a request.
+pub(crate) enum ClaimOutcome {
+    /// The request may be sent under this claim.
     Held(HeldClaim),
-    /// It ran before; this is its answer.
+    /// The request ran before; this is its recorded answer.
     Recorded(WholeAnswer),
 }
 
-/// A claim that this router wrote.
+/// A claim that this router holds; without a row if the request has no key.
 #[derive(Clone)]
 pub(crate) struct HeldClaim {
     pub(super) customer: String,
     pub(super) token: RequestToken,
-    pub(super) written: Option<WrittenClaim>,
+    pub(super) row: Option<ClaimRow>,
 }
 
-/// The row of a claim.
+/// The row of a claim in the platform's table.
 #[derive(Clone)]
-pub(super) struct WrittenClaim {
+pub(super) struct ClaimRow {
     pub(super) key: String,
     pub(super) row_version: u64,
     pub(super) claim: Claim,
--- a/crates/sapphiretrackd/src/dispatch/health.rs
+++ b/crates/sapphiretrackd/src/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! What this router's own requests tell about pools and servers.
+//! Health of pools and servers as observed by this router's own requests.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,37 +7,37 @@
     Candidate, ClassPolicy, DrainRate, OutlierDetector, ServerId, ShedControl,
 };
 
-/// Outlier detection, shedding and drain rates, shared by all requests.
+/// Outlier detection, load shedding and drain rates, shared by all requests.
 #[derive(Default)]
 pub(crate) struct Health {
     outliers: Mutex<OutlierDetector>,
     pools: Mutex<BTreeMap<String, PoolLoad>>,
 }
 
-/// The load of one pool as this router meets it.
+/// The load of one pool as observed by this router.
 struct PoolLoad {
     shed: ShedControl,
     drain: DrainRate,
 }
 
 impl Health {
-    /// The candidates without the servers that are left out.
+    /// Removes ejected servers from the candidates.
     pub(crate) fn filter(&self, candidates: Vec<Candidate>, now_ms: u64) -> Vec<Candidate> {
         self.outliers()
             .filter(candidates, |one| one.server, rand::random(), now_ms)
     }
 
-    /// Notes how an attempt ended; true if the server is left out from now on.
-    pub(crate) fn note_attempt(&self, server: ServerId, went_well: bool, now_ms: u64) -> bool {
+    /// Records the result of an attempt. Returns true if it ejects the server.
+    pub(crate) fn record_attempt(&self, server: ServerId, succeeded: bool, now_ms: u64) -> bool {
         let mut outliers = self.outliers();
-        if went_well {
+        if succeeded {
             outliers.note_success(server, now_ms);
             return false;
         }
         outliers.note_failure(server, now_ms)
     }
 
-    /// The part of a server's load bound that a request may fill now.
+    /// Counts a request and returns the share of a server's load bound that it may fill.
     pub(crate) fn bound_share(&self, pool: &str, policy: &ClassPolicy, now_ms: u64) -> f64 {
         self.with_pool(pool, now_ms, |load| {
             load.shed.note_request(policy.priority, now_ms);
@@ -45,8 +45,14 @@
         })
     }
 
-    /// Notes a whole or late answer.
-    pub(crate) fn note_answer(&self, pool: &str, policy: &ClassPolicy, took_ms: u64, now_ms: u64) {
+    /// Records the time of a complete or late answer.
+    pub(crate) fn record_answer(
+        &self,
+        pool: &str,
+        policy: &ClassPolicy,
+        took_ms: u64,
+        now_ms: u64,
+    ) {
         self.with_pool(pool, now_ms, |load| {
             load.drain.note_end(now_ms);
             load.shed
@@ -54,27 +60,27 @@
         });
     }
 
-    /// When a caller that is refused for want of room may come back.
+    /// Returns the retry delay for a caller that was refused because the pool has no capacity.
     pub(crate) fn retry_after_ms(&self, pool: &str, now_ms: u64) -> u64 {
         self.with_pool(pool, now_ms, |load| {
             load.drain.retry_after_ms(rand::random(), now_ms)
         })
     }
 
-    fn with_pool<Result, Act>(&self, pool: &str, now_ms: u64, act: Act) -> Result
+    fn with_pool<Output, Action>(&self, pool: &str, now_ms: u64, action: Action) -> Output
     where
-        Act: FnOnce(&mut PoolLoad) -> Result,
+        Action: FnOnce(&mut PoolLoad) -> Output,
     {
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(load) = pools.get_mut(pool) {
-            return act(load);
+            return action(load);
         }
-        // Pools are those of contracts, so their number is bounded.
+        // Only pools named by contracts get here, so their number is bounded.
         let load = pools.entry(pool.to_owned()).or_insert_with(|| PoolLoad {
             shed: ShedControl::default(),
             drain: DrainRate::new(now_ms),
         });
-        act(load)
+        action(load)
     }
 
     fn outliers(&self) -> MutexGuard<'_, OutlierDetector> {
--- a/crates/sapphiretrackd/src/dispatch/leaving.rs
+++ b/crates/sapphiretrackd/src/dispatch/leaving.rs
@@ -1,4 +1,4 @@
-//! What requests meet: a server that refuses because it is leaving.
+//! Reports servers that refuse requests because they are leaving.
 
 use sapphiretrack_backend::BackendError;
 
@@ -7,8 +7,8 @@
 use crate::dispatch::slots::Slot;
 
 impl Dispatcher {
-    /// Tells the control thread, and by it all peers, of a server that says it is leaving.
-    pub(crate) fn note_leaving(&self, slot: &Slot, error: &BackendError) {
+    /// Reports a server that says it is leaving to the control thread, which informs all peers.
+    pub(crate) fn report_leaving_server(&self, slot: &Slot, error: &BackendError) {
         if matches!(error, BackendError::Leaving) {
             self.control.send(Command::ServerLeaving {
                 server: slot.server,
--- a/crates/sapphiretrackd/src/dispatch/mod.rs
+++ b/crates/sapphiretrackd/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Runs callers' requests: limits, placement, attempts, retries.
+//! Runs the requests of callers: limits, placement, attempts and retries.
 
 mod attempts;
 mod chat;
@@ -27,16 +27,16 @@
 use crate::clock::Clock;
 use crate::control::ControlHandle;
 pub(crate) use crate::dispatch::health::Health;
-use crate::limits::{InFlightPlace, LimitTable};
+use crate::limits::{InFlightPermit, LimitTable};
 use crate::metrics::Metrics;
 use crate::warm_memory::WarmMemory;
 
-/// When to come back after a refusal of an isolated router.
-const ISOLATED_RETRY_MS: u64 = 1_000;
-/// Retries that are allowed for each request, over all requests.
+/// Retry delay that an isolated router tells callers.
+const ISOLATED_RETRY_AFTER_MS: u64 = 1_000;
+/// Allowed retries per request, averaged over all requests.
 const RETRIES_PER_REQUEST: f64 = 0.08;
 
-/// What the dispatch of requests works with.
+/// The state shared by all requests.
 pub(crate) struct Dispatcher {
     pub(crate) clock: Clock,
     pub(crate) control: ControlHandle,
@@ -53,69 +53,72 @@
 }
 
 impl Dispatcher {
-    /// A retry budget of the usual size.
+    /// Creates a retry budget of [`RETRIES_PER_REQUEST`].
     pub(crate) fn retry_budget() -> RetryBudget {
         RetryBudget::new(RETRIES_PER_REQUEST)
     }
 
-    /// Runs a request to its answer.
+    /// Runs a request and counts a refusal in the metrics.
     pub(crate) fn run(self: &Arc<Self>, request: CallerRequest) -> BoxFuture<'static, Answer> {
         let dispatcher = self.clone();
         Box::pin(async move {
             let answer = dispatcher.clone().run_admitted(request).await;
             if let Answer::Refused(refusal) = &answer {
-                dispatcher.metrics.refused(refusal.code);
+                dispatcher.metrics.count_refusal(refusal.code);
             }
             answer
         })
     }
 
     async fn run_admitted(self: Arc<Self>, mut request: CallerRequest) -> Answer {
-        let since = Instant::now();
-        let place = match self.admit(&request).await {
-            Ok(place) => place,
+        let started_at = Instant::now();
+        let permit = match self.admit(&request).await {
+            Ok(permit) => permit,
             Err(refusal) => return Answer::Refused(refusal),
         };
-        // The time that it took to get in is part of the request's time.
-        let waited_ms = since.elapsed().as_millis() as u64;
+        // The time spent in admission counts toward the deadline.
+        let waited_ms = started_at.elapsed().as_millis() as u64;
         request.policy.deadline_ms = request.policy.deadline_ms.saturating_sub(waited_ms);
         let pool = request.pool().to_owned();
-        let answer = self.clone().run_placed(request, place).await;
+        let answer = self.clone().run_with_permit(request, permit).await;
         if matches!(&answer, Answer::Refused(refusal) if refusal.code == RefusalCode::Overloaded) {
-            self.limits.note_full(&pool);
+            self.limits.record_full_pool(&pool);
         }
         answer
     }
 
-    async fn run_placed(self: Arc<Self>, request: CallerRequest, place: InFlightPlace) -> Answer {
+    async fn run_with_permit(
+        self: Arc<Self>,
+        request: CallerRequest,
+        permit: InFlightPermit,
+    ) -> Answer {
         let rule = request
             .contract
             .non_idempotent_rule(request.pool(), request.path())
             .cloned();
         if let Some(rule) = rule {
-            return once::run_once(self, request, &rule, place).await;
+            return once::run_once(self, request, &rule, permit).await;
         }
         match &request.target {
-            Target::Chat(_) => chat::run_chat(self, request, place, None).await,
-            Target::Service(_) => service::run_service(&self, &request, place).await,
+            Target::Chat(_) => chat::run_chat(self, request, permit, None).await,
+            Target::Service(_) => service::run_service(&self, &request, permit).await,
         }
     }
 
-    async fn admit(&self, request: &CallerRequest) -> Result<InFlightPlace, Refusal> {
+    async fn admit(&self, request: &CallerRequest) -> Result<InFlightPermit, Refusal> {
         let snapshot = self.control.snapshot();
         if snapshot.isolated {
             let message = "the router sees neither the platform nor its peers";
-            return Err(
-                Refusal::not_run(RefusalCode::Isolated, message).retry_after(ISOLATED_RETRY_MS)
-            );
+            return Err(Refusal::not_run(RefusalCode::Isolated, message)
+                .retry_after(ISOLATED_RETRY_AFTER_MS));
         }
         let tokens = match &request.target {
             Target::Chat(call) => call.prompt_tokens,
             Target::Service(_) => 0,
         };
-        let place = self
+        let permit = self
             .limits
-            .enter(
+            .admit(
                 &request.contract,
                 request.pool(),
                 tokens,
@@ -123,7 +126,7 @@
             )
             .await?;
         self.lock_retries().note_request();
-        Ok(place)
+        Ok(permit)
     }
 
     fn try_retry(&self) -> bool {
@@ -138,8 +141,8 @@
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request of a workspace; returns the workspace's share of the load.
-    fn note_workspace(&self, workspace: WorkspaceKey) -> f64 {
+    /// Counts a request of a workspace and returns the workspace's share of the load.
+    fn count_workspace_request(&self, workspace: WorkspaceKey) -> f64 {
         let shares = self.shares.lock();
         let mut shares = shares.unwrap_or_else(PoisonError::into_inner);
         shares.note(workspace, self.clock.now_ms())
--- a/crates/sapphiretrackd/src/dispatch/once.rs
+++ b/crates/sapphiretrackd/src/dispatch/once.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests: claimed in the platform's table, then sent once.
+//! Non-idempotent requests: claimed in the platform's table, then run at most once.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -14,53 +14,55 @@
 use sapphiretrack_platform::{ClaimWritten, PlatformError};
 
 use crate::clock::wall_clock_ms;
-use crate::dispatch::claimed::{Claimed, HeldClaim, Once, WrittenClaim};
-use crate::dispatch::service::{ServiceRun, whole};
+use crate::dispatch::claimed::{AtMostOnce, ClaimOutcome, ClaimRow, HeldClaim};
+use crate::dispatch::service::{ServiceRun, into_answer};
 use crate::dispatch::{Dispatcher, chat, new_attempt};
 use crate::events::Event;
-use crate::limits::InFlightPlace;
+use crate::limits::InFlightPermit;
 
-/// When to come back after the platform failed.
-const PLATFORM_RETRY_MS: u64 = 2_000;
-/// When to come back for the answer of a request that is still running.
-const CLAIMED_RETRY_MS: u64 = 1_000;
-/// The largest answer that is recorded in the claim's row; larger ones go to the object store.
+/// Retry delay that callers are told after the platform failed.
+const PLATFORM_RETRY_AFTER_MS: u64 = 2_000;
+/// Retry delay that callers are told if the request may still be running.
+const CLAIMED_RETRY_AFTER_MS: u64 = 1_000;
+/// The largest answer that is stored in the claim's row; larger ones go to the object store.
 const MAX_ROW_BYTES: usize = 16 << 10;
-/// How long an answer waits for its record; the record is written later all the same.
+/// How long an answer is delayed until it is recorded; recording continues after that.
 const RECORD_WAIT: Duration = Duration::from_millis(500);
-/// How long a reply is awaited after the caller was told of the deadline, to record it.
+/// How long to wait for a reply after the deadline of the caller, in order to record it.
 const LATE_REPLY_WAIT: Duration = Duration::from_secs(30);
-/// How often a write to a claim is tried that must not be lost.
-const CLAIM_TRIES: u32 = 6;
-/// The wait before the second of these tries; doubled each time.
-const CLAIM_TRY_WAIT: Duration = Duration::from_millis(250);
+/// Attempts to record an answer or to withdraw a claim.
+const CLAIM_WRITE_ATTEMPTS: u32 = 6;
+/// The delay after the first of these attempts; it doubles each time.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Runs a non-idempotent request at most once.
 ///
-/// The work goes on if the caller leaves, so that the record of the answer is written.
+/// The request continues if the caller disconnects so that its answer is recorded.
 pub(crate) async fn run_once(
     dispatcher: Arc<Dispatcher>,
     request: CallerRequest,
     rule: &NonIdempotentRule,
-    place: InFlightPlace,
+    permit: InFlightPermit,
 ) -> Answer {
-    let Ok(key) = claim_key(&request, rule) else {
+    let Ok(idempotency_key) = required_key(&request, rule) else {
         let message = "this request is non-idempotent";
         return Answer::Refused(Refusal::not_run(
             RefusalCode::IdempotencyKeyRequired,
             message,
         ));
     };
-    let once = Once { key };
+    let at_most_once = AtMostOnce { idempotency_key };
     if matches!(request.target, Target::Chat(_)) {
-        return chat::run_chat(dispatcher, request, place, Some(once)).await;
+        return chat::run_chat(dispatcher, request, permit, Some(at_most_once)).await;
     }
     let gate = Arc::new(SendGate::default());
     let deadline = Instant::now() + Duration::from_millis(request.policy.deadline_ms);
     let sender = gate.clone();
     let task = tokio::spawn(async move {
-        let answer = dispatcher.run_claimed(&request, &once, &sender).await;
-        drop(place);
+        let answer = dispatcher
+            .run_claimed(&request, &at_most_once, &sender)
+            .await;
+        drop(permit);
         answer.unwrap_or_else(Answer::Refused)
     });
     tokio::select! {
@@ -72,8 +74,8 @@
     }
 }
 
-/// The key of a request; an error if it must have one.
-fn claim_key(request: &CallerRequest, rule: &NonIdempotentRule) -> Result<Option<String>, ()> {
+/// Returns the idempotency key of a request. Fails if the rule requires a key and there is none.
+fn required_key(request: &CallerRequest, rule: &NonIdempotentRule) -> Result<Option<String>, ()> {
     match &request.idempotency_key {
         Some(key) => Ok(Some(key.clone())),
         None if rule.key_optional => Ok(None),
@@ -81,9 +83,9 @@
     }
 }
 
-/// Decides between the task that sends and the deadline: whoever comes first.
+/// Lets either the sending task or the deadline win, whichever comes first.
 ///
-/// A router that was paused finds both due at once; only one of them passes.
+/// Both are due at once after the process was paused, so an atomic state decides between them.
 #[derive(Default)]
 struct SendGate(AtomicU8);
 
@@ -92,24 +94,24 @@
     const SENT: u8 = 1;
     const CLOSED: u8 = 2;
 
-    /// Whether the request may be sent now; from then on it counts as sent.
-    fn pass(&self) -> bool {
-        self.turn(Self::SENT)
+    /// Marks the request as sent. Returns false if the deadline has closed the gate.
+    fn mark_sent(&self) -> bool {
+        self.transition(Self::SENT)
     }
 
-    /// Closes the gate at the deadline; the refusal tells whether the request was sent before.
+    /// Closes the gate at the deadline. The refusal tells whether the request was sent before.
     fn close(&self) -> Refusal {
         let message = "the deadline of the class passed";
-        if self.turn(Self::CLOSED) {
+        if self.transition(Self::CLOSED) {
             return Refusal::not_run(RefusalCode::DeadlinePassed, message)
-                .retry_after(PLATFORM_RETRY_MS);
+                .retry_after(PLATFORM_RETRY_AFTER_MS);
         }
-        Refusal::unknown(RefusalCode::DeadlinePassed, message).retry_after(CLAIMED_RETRY_MS)
+        Refusal::unknown(RefusalCode::DeadlinePassed, message).retry_after(CLAIMED_RETRY_AFTER_MS)
     }
 
-    fn turn(&self, to: u8) -> bool {
+    fn transition(&self, state: u8) -> bool {
         self.0
-            .compare_exchange(Self::OPEN, to, Ordering::AcqRel, Ordering::Acquire)
+            .compare_exchange(Self::OPEN, state, Ordering::AcqRel, Ordering::Acquire)
             .is_ok()
     }
 }
@@ -118,16 +120,16 @@
     async fn run_claimed(
         self: &Arc<Self>,
         request: &CallerRequest,
-        once: &Once,
+        at_most_once: &AtMostOnce,
         gate: &SendGate,
     ) -> Result<Answer, Refusal> {
         let mut run = ServiceRun::new(self, request, Repeatable::OnlyIfNotRun);
-        let mut slot = run.slot().await?;
-        let held = match self.take_claim(request, once).await? {
-            Claimed::Held(held) => held,
-            Claimed::Recorded(answer) => return Ok(Answer::Whole(answer)),
+        let mut slot = run.reserve_slot().await?;
+        let held = match self.acquire_claim(request, at_most_once).await? {
+            ClaimOutcome::Held(held) => held,
+            ClaimOutcome::Recorded(answer) => return Ok(Answer::Whole(answer)),
         };
-        if !gate.pass() {
+        if !gate.mark_sent() {
             self.withdraw(&held);
             let message = "the deadline of the class passed";
             return Err(Refusal::not_run(RefusalCode::DeadlinePassed, message));
@@ -136,14 +138,14 @@
         loop {
             let error = match run.attempt(&slot, reply_limit).await {
                 Ok(reply) => {
-                    self.record(&held, recorded_reply(&reply)).await;
-                    run.note_whole();
-                    return Ok(whole(reply));
+                    self.record_answer(&held, answer_to_record(&reply)).await;
+                    run.record_completion();
+                    return Ok(into_answer(reply));
                 }
                 Err(error) => error,
             };
-            let next = match run.after_failure(&slot, &error).await {
-                Ok(()) => run.slot().await,
+            let next = match run.prepare_retry(&slot, &error).await {
+                Ok(()) => run.reserve_slot().await,
                 Err(refusal) => Err(refusal),
             };
             slot = match next {
@@ -152,23 +154,26 @@
                     self.withdraw(&held);
                     return Err(refusal);
                 }
-                Err(refusal) => return Err(refusal.retry_after(CLAIMED_RETRY_MS)),
+                Err(refusal) => return Err(refusal.retry_after(CLAIMED_RETRY_AFTER_MS)),
             };
         }
     }
 
     /// Claims a request just before it is sent.
-    pub(crate) async fn take_claim(
+    ///
+    /// Returns a refusal if the claim exists without a recorded answer, if its key was used for
+    /// another request, or if the platform failed.
+    pub(crate) async fn acquire_claim(
         self: &Arc<Self>,
         request: &CallerRequest,
-        once: &Once,
-    ) -> Result<Claimed, Refusal> {
+        at_most_once: &AtMostOnce,
+    ) -> Result<ClaimOutcome, Refusal> {
         let customer = request.contract.customer.clone();
-        let Some(key) = once.key.clone() else {
-            return Ok(Claimed::Held(HeldClaim {
+        let Some(key) = at_most_once.idempotency_key.clone() else {
+            return Ok(ClaimOutcome::Held(HeldClaim {
                 customer,
                 token: request.token.clone(),
-                written: None,
+                row: None,
             }));
         };
         let claim = Claim {
@@ -180,18 +185,18 @@
         let held = |row_version| HeldClaim {
             customer: customer.clone(),
             token: request.token.clone(),
-            written: Some(WrittenClaim {
+            row: Some(ClaimRow {
                 key: key.clone(),
                 row_version,
                 claim: claim.clone(),
             }),
         };
         match self.claims.write(&customer, &key, &claim).await {
-            Ok(ClaimWritten::Ours { row_version }) => Ok(Claimed::Held(held(row_version))),
-            Ok(ClaimWritten::Found(found)) => self.answer_for_found(&found, &claim).await,
+            Ok(ClaimWritten::Ours { row_version }) => Ok(ClaimOutcome::Held(held(row_version))),
+            Ok(ClaimWritten::Found(found)) => self.resolve_existing_claim(&found, &claim).await,
             Err(error) => {
                 if !error.is_without_effect() {
-                    // The write may still take effect: nothing is sent under it.
+                    // The write may still take effect, but nothing is sent under this claim.
                     self.withdraw(&held(0));
                 }
                 Err(platform_refusal(&error))
@@ -199,23 +204,21 @@
         }
     }
 
-    /// Withdraws a claim under which nothing was sent, in the background and with patience: the
-    /// row may not even be there yet. If it stays all the same, repeats get `unknown`.
+    /// Withdraws a claim under which nothing was sent, in the background and with retries, since
+    /// the row may not have been written yet. If the row remains, repeats get `unknown`.
     pub(crate) fn withdraw(self: &Arc<Self>, held: &HeldClaim) {
         let dispatcher = self.clone();
         let HeldClaim {
             customer,
             token,
-            written,
+            row,
         } = held.clone();
-        let Some(written) = written else { return };
+        let Some(row) = row else { return };
         tokio::spawn(async move {
             let claims = &dispatcher.claims;
-            let mut wait = CLAIM_TRY_WAIT;
-            for _ in 0..CLAIM_TRIES {
-                let withdrawn = claims
-                    .withdraw(&customer, &written.key, &written.claim)
-                    .await;
+            let mut wait = CLAIM_RETRY_DELAY;
+            for _ in 0..CLAIM_WRITE_ATTEMPTS {
+                let withdrawn = claims.withdraw(&customer, &row.key, &row.claim).await;
                 if matches!(withdrawn, Ok(true)) {
                     break;
                 }
@@ -226,19 +229,26 @@
         });
     }
 
-    /// Records the answer of a request that ran. The caller's answer waits only a short while.
-    pub(crate) async fn record(self: &Arc<Self>, held: &HeldClaim, answer: RecordedAnswer<Bytes>) {
+    /// Records the answer of a request that ran, with retries.
+    ///
+    /// Returns after [`RECORD_WAIT`] at the latest; recording then continues in the background.
+    pub(crate) async fn record_answer(
+        self: &Arc<Self>,
+        held: &HeldClaim,
+        answer: RecordedAnswer<Bytes>,
+    ) {
         let dispatcher = self.clone();
         let HeldClaim {
             customer,
             token,
-            written,
+            row,
         } = held.clone();
-        let Some(written) = written else { return };
+        let Some(row) = row else { return };
         let task = tokio::spawn(async move {
-            let mut wait = CLAIM_TRY_WAIT;
-            for _ in 0..CLAIM_TRIES {
-                let Err(error) = dispatcher.try_record(&customer, &written, &answer).await else {
+            let mut wait = CLAIM_RETRY_DELAY;
+            for _ in 0..CLAIM_WRITE_ATTEMPTS {
+                let Err(error) = dispatcher.try_record_answer(&customer, &row, &answer).await
+                else {
                     break;
                 };
                 let reason = error.to_string();
@@ -251,10 +261,10 @@
         drop(tokio::time::timeout(RECORD_WAIT, task).await);
     }
 
-    async fn try_record(
+    async fn try_record_answer(
         &self,
         customer: &str,
-        written: &WrittenClaim,
+        row: &ClaimRow,
         answer: &RecordedAnswer<Bytes>,
     ) -> Result<(), PlatformError> {
         let text = std::str::from_utf8(&answer.body)
@@ -264,7 +274,7 @@
             Some(text) => RecordedBody::Text(text.to_owned()),
             None => {
                 let body = answer.body.clone();
-                RecordedBody::Object(self.claims.put_body(&written.claim, body).await?)
+                RecordedBody::Object(self.claims.put_body(&row.claim, body).await?)
             }
         };
         let finished = Claim {
@@ -273,17 +283,21 @@
                 content_type: answer.content_type.clone(),
                 body,
             }),
-            ..written.claim.clone()
+            ..row.claim.clone()
         };
         self.claims
-            .finish(customer, &written.key, written.row_version, &finished)
+            .finish(customer, &row.key, row.row_version, &finished)
             .await
             .map(drop)
     }
 
-    async fn answer_for_found(&self, found: &Claim, own: &Claim) -> Result<Claimed, Refusal> {
+    async fn resolve_existing_claim(
+        &self,
+        found: &Claim,
+        own: &Claim,
+    ) -> Result<ClaimOutcome, Refusal> {
         match decide_claim(found, &own.claim_id, own.request_hash) {
-            ClaimDecision::Replay(answer) => self.replay(answer).await.map(Claimed::Recorded),
+            ClaimDecision::Replay(answer) => self.replay(answer).await.map(ClaimOutcome::Recorded),
             ClaimDecision::KeyReused => Err(Refusal::not_run(
                 RefusalCode::KeyReused,
                 "the idempotency key was used for another request",
@@ -314,7 +328,7 @@
     }
 }
 
-fn recorded_reply(reply: &ServiceReply) -> RecordedAnswer<Bytes> {
+fn answer_to_record(reply: &ServiceReply) -> RecordedAnswer<Bytes> {
     RecordedAnswer {
         status: reply.status,
         content_type: reply.content_type.clone(),
@@ -323,12 +337,12 @@
 }
 
 fn already_claimed(message: &str) -> Refusal {
-    Refusal::unknown(RefusalCode::AlreadyClaimed, message).retry_after(CLAIMED_RETRY_MS)
+    Refusal::unknown(RefusalCode::AlreadyClaimed, message).retry_after(CLAIMED_RETRY_AFTER_MS)
 }
 
 fn platform_refusal(error: &PlatformError) -> Refusal {
     let message = format!("the claim could not be settled: {error}");
-    Refusal::not_run(RefusalCode::PlatformUnavailable, message).retry_after(PLATFORM_RETRY_MS)
+    Refusal::not_run(RefusalCode::PlatformUnavailable, message).retry_after(PLATFORM_RETRY_AFTER_MS)
 }
 
 fn request_hash(request: &CallerRequest) -> u64 {
--- a/crates/sapphiretrackd/src/dispatch/service.rs
+++ b/crates/sapphiretrackd/src/dispatch/service.rs
@@ -1,4 +1,4 @@
-//! Plain service calls.
+//! Calls of plain services.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,28 +12,28 @@
 use crate::control::Snapshot;
 use crate::dispatch::slots::Slot;
 use crate::dispatch::{Dispatcher, chat_key, new_attempt, workspace_key};
-use crate::limits::InFlightPlace;
+use crate::limits::InFlightPermit;
 
-/// Runs an idempotent service call, again where it fails and the budget allows.
+/// Runs an idempotent service call, with retries within the retry budget.
 pub(crate) async fn run_service(
     dispatcher: &Arc<Dispatcher>,
     request: &CallerRequest,
-    place: InFlightPlace,
+    permit: InFlightPermit,
 ) -> Answer {
     let mut run = ServiceRun::new(dispatcher, request, Repeatable::Always);
-    let reply = run.until_answered().await;
-    drop(place);
+    let reply = run.run_attempts().await;
+    drop(permit);
     match reply {
         Ok(reply) => {
-            run.note_whole();
-            whole(reply)
+            run.record_completion();
+            into_answer(reply)
         }
         Err(refusal) => Answer::Refused(refusal),
     }
 }
 
-/// The caller's form of a service's reply.
-pub(crate) fn whole(reply: ServiceReply) -> Answer {
+/// Converts the reply of a service into the answer for the caller.
+pub(crate) fn into_answer(reply: ServiceReply) -> Answer {
     Answer::Whole(WholeAnswer {
         status: reply.status,
         content_type: reply.content_type,
@@ -42,7 +42,7 @@
     })
 }
 
-/// One service call on its way.
+/// A service call in progress.
 pub(crate) struct ServiceRun<'a> {
     dispatcher: &'a Dispatcher,
     request: &'a CallerRequest,
@@ -51,7 +51,7 @@
 }
 
 impl<'a> ServiceRun<'a> {
-    /// A call that was not sent yet; its deadline counts from now.
+    /// Creates a call that has not been sent; its deadline counts from now.
     pub(crate) fn new(
         dispatcher: &'a Dispatcher,
         request: &'a CallerRequest,
@@ -65,17 +65,17 @@
         }
     }
 
-    /// When the answer is late.
+    /// Returns the time after which an answer is late.
     pub(crate) fn deadline(&self) -> Instant {
         self.started_at + Duration::from_millis(self.request.policy.deadline_ms)
     }
 
-    /// A slot for the next attempt.
-    pub(crate) async fn slot(&self) -> Result<Slot, Refusal> {
+    /// Reserves a slot for the next attempt.
+    pub(crate) async fn reserve_slot(&self) -> Result<Slot, Refusal> {
         let snapshot = self.dispatcher.control.snapshot();
         let candidates = service_candidates(self.dispatcher, &snapshot, self.request);
         self.dispatcher
-            .slot(
+            .reserve_slot(
                 &snapshot,
                 self.request,
                 candidates,
@@ -86,6 +86,8 @@
     }
 
     /// Sends the call once and waits for its reply until `limit`.
+    ///
+    /// Returns [`BackendError::Late`] if there is no reply by then.
     pub(crate) async fn attempt(
         &mut self,
         slot: &Slot,
@@ -97,7 +99,7 @@
             });
         };
         let left = self.deadline().saturating_duration_since(Instant::now());
-        let attempt = attempt_of(call, left);
+        let attempt = service_attempt(call, left);
         self.log.begin(slot.server);
         let sent = self.dispatcher.backend.service(slot.address, &attempt);
         let reply = match tokio::time::timeout_at(limit.into(), sent).await {
@@ -105,46 +107,46 @@
             Err(_) => Err(BackendError::Late),
         };
         if reply.is_ok() {
-            self.dispatcher.note_attempt_well(slot);
+            self.dispatcher.record_attempt_success(slot);
         }
         reply
     }
 
-    /// Decides whether another attempt follows a failed one, and waits until it may.
-    pub(crate) async fn after_failure(
+    /// Waits for the backoff of the next attempt, or returns a refusal if there is none.
+    pub(crate) async fn prepare_retry(
         &mut self,
         slot: &Slot,
         error: &BackendError,
     ) -> Result<(), Refusal> {
         let deadline = self.deadline();
         self.dispatcher
-            .after_failure(self.request, &mut self.log, slot, error, deadline)
+            .prepare_retry(self.request, &mut self.log, slot, error, deadline)
             .await
     }
 
-    /// Notes the time of the whole answer.
-    pub(crate) fn note_whole(&self) {
+    /// Records the time of the complete answer.
+    pub(crate) fn record_completion(&self) {
         self.dispatcher
-            .note_answer(self.request, self.started_at.elapsed());
+            .record_completion(self.request, self.started_at.elapsed());
     }
 
-    async fn until_answered(&mut self) -> Result<ServiceReply, Refusal> {
+    async fn run_attempts(&mut self) -> Result<ServiceReply, Refusal> {
         loop {
-            let slot = self.slot().await?;
+            let slot = self.reserve_slot().await?;
             match self.attempt(&slot, self.deadline()).await {
                 Ok(reply) => return Ok(reply),
                 Err(BackendError::Late) => {
-                    self.dispatcher.note_late(self.request);
+                    self.dispatcher.record_deadline_exceeded(self.request);
                     let message = "the deadline of the class passed";
                     return Err(self.log.refusal(RefusalCode::DeadlinePassed, message));
                 }
-                Err(error) => self.after_failure(&slot, &error).await?,
+                Err(error) => self.prepare_retry(&slot, &error).await?,
             }
         }
     }
 }
 
-fn attempt_of(call: &ServiceCall, left: Duration) -> ServiceAttempt<'_> {
+fn service_attempt(call: &ServiceCall, left: Duration) -> ServiceAttempt<'_> {
     ServiceAttempt {
         id: new_attempt(),
         method: call.method.clone(),
@@ -166,7 +168,7 @@
     let workspace = workspace_key(request);
     let placement = PlacementRequest {
         workspace,
-        workspace_share: dispatcher.note_workspace(workspace),
+        workspace_share: dispatcher.count_workspace_request(workspace),
         chat: chat_key(request),
         prompt_tokens: 0,
         warm: &[],
--- a/crates/sapphiretrackd/src/dispatch/slots.rs
+++ b/crates/sapphiretrackd/src/dispatch/slots.rs
@@ -1,4 +1,4 @@
-//! Reserves slots on backend servers with their stewards.
+//! Reserves slots on backend servers at the routers that count them, the stewards.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,47 +12,47 @@
 use crate::control::{Command, ControlHandle, Place, SlotRefusal, SlotWish, Snapshot};
 use crate::dispatch::Dispatcher;
 
-/// How many servers are tried for a slot at a time; those that look full come last.
+/// The most servers asked for a slot in one round; servers that seem full are ranked last.
 const MAX_TRIED_SERVERS: usize = 64;
 
-/// A server to ask for a slot; with the refusal if its steward had no room before.
-type Asked = (Candidate, Option<FullServer>);
+/// A server to ask for a slot, with its counts if its steward refused before because it was full.
+type SlotCandidate = (Candidate, Option<FullServer>);
 
-/// A slot on a server; dropping it gives it back.
+/// A slot on a server, released on drop.
 pub(crate) struct Slot {
     /// The server.
     pub(crate) server: ServerId,
-    /// Where it takes requests.
+    /// The address for requests.
     pub(crate) address: SocketAddr,
-    /// Where the chat's cached tokens can be imported from, where that is cheaper.
+    /// The server to import the chat's cached tokens from, if that is cheaper than computing them.
     pub(crate) import_from: Option<SocketAddr>,
-    /// Its incarnation, as last seen.
+    /// The last known incarnation of the server.
     pub(crate) incarnation: Incarnation,
     _reservation: Reservation,
 }
 
-/// What a request needs of a slot.
-pub(crate) struct WantedSlot<'a> {
-    /// The pool.
+/// A request's requirements for a slot.
+pub(crate) struct SlotRequest<'a> {
+    /// The pool of servers.
     pub(crate) pool: &'a str,
-    /// The part of the bound that the class may fill.
+    /// The share of a server's load bound that the request may fill.
     pub(crate) bound_share: f64,
-    /// Servers that were tried before.
+    /// Servers that earlier attempts used.
     pub(crate) tried: &'a [ServerId],
-    /// When the answer is late.
+    /// The deadline of the request.
     pub(crate) deadline: Instant,
 }
 
-/// What came of a round over candidates without a slot.
+/// Why a round over the candidates gave no slot.
 #[derive(Default)]
-struct Refused {
-    /// The full ones, with what their stewards told.
-    full: Vec<Asked>,
-    /// Whether nobody counts the slots of some server just now.
+struct FailedRound {
+    /// Full servers, with the counts from their stewards.
+    full: Vec<SlotCandidate>,
+    /// Whether a server has no steward that answers for it now.
     lacks_steward: bool,
 }
 
-/// Ends a reservation when dropped, granted or not.
+/// Ends a reservation on drop, granted or not.
 struct Reservation {
     control: ControlHandle,
     id: ReservationId,
@@ -67,73 +67,74 @@
 }
 
 impl Dispatcher {
-    /// The first slot that is granted among the candidates, leaving out servers tried before;
-    /// waits a moment for room, or for a steward that changes, where that is expected to help.
+    /// Reserves a slot on the first candidate that grants one, without the servers tried before.
+    ///
+    /// Waits briefly for capacity, or for the change of a steward, if that is expected to help.
     pub(crate) async fn reserve(
         &self,
-        wanted: &WantedSlot<'_>,
+        wanted: &SlotRequest<'_>,
         candidates: &[Candidate],
     ) -> Option<Slot> {
-        let since = Instant::now();
+        let started_at = Instant::now();
         let mut waited_ms = 0;
         loop {
             let snapshot = self.control.snapshot();
-            let lacks_steward = match self.reserve_twice(&snapshot, wanted, candidates).await {
+            let lacks_steward = match self.reserve_with_retry(&snapshot, wanted, candidates).await {
                 Ok(slot) => return Some(slot),
-                Err(refused) => refused.lacks_steward,
+                Err(failed) => failed.lacks_steward,
             };
             let pool = snapshot.pools.get(wanted.pool)?;
             let left = wanted.deadline.saturating_duration_since(Instant::now());
             let left_ms = left.as_millis() as u64;
             let settings = WaitSettings::default();
-            // A class that is shed is refused at once.
+            // Requests of a shed class do not wait.
             let is_shed = wanted.bound_share < SHED_BELOW_SHARE;
-            let for_room = wait_for_room(&settings, pool.in_flight(), waited_ms, left_ms);
-            let tried_ms = since.elapsed().as_millis() as u64;
-            let for_steward = lacks_steward
-                .then(|| wait_for_steward(&settings, tried_ms, left_ms))
+            let room_wait_ms = wait_for_room(&settings, pool.in_flight(), waited_ms, left_ms);
+            let elapsed_ms = started_at.elapsed().as_millis() as u64;
+            let steward_wait_ms = lacks_steward
+                .then(|| wait_for_steward(&settings, elapsed_ms, left_ms))
                 .flatten();
-            let wait = for_room.into_iter().chain(for_steward).min();
+            let wait = room_wait_ms.into_iter().chain(steward_wait_ms).min();
             let wait_ms = wait.filter(|_| !is_shed)?;
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             waited_ms += wait_ms;
         }
     }
 
-    /// Asks for a slot on each candidate, and once more where the refusals brought counts that
-    /// leave room.
-    async fn reserve_twice(
+    /// Asks for a slot on each candidate in turn, then once more on the full ones where the load
+    /// counts in the refusals leave room.
+    async fn reserve_with_retry(
         &self,
         snapshot: &Snapshot,
-        wanted: &WantedSlot<'_>,
+        wanted: &SlotRequest<'_>,
         candidates: &[Candidate],
-    ) -> Result<Slot, Refused> {
-        let fresh = candidates
+    ) -> Result<Slot, FailedRound> {
+        let untried = candidates
             .iter()
             .filter(|candidate| !wanted.tried.contains(&candidate.server));
-        let fresh = fresh.take(MAX_TRIED_SERVERS).copied();
-        let first: Vec<Asked> = fresh.map(|candidate| (candidate, None)).collect();
-        let mut refused = match self.reserve_now(snapshot, wanted, &first).await {
+        let untried = untried.take(MAX_TRIED_SERVERS).copied();
+        let first: Vec<SlotCandidate> = untried.map(|candidate| (candidate, None)).collect();
+        let mut failed = match self.reserve_first_granted(snapshot, wanted, &first).await {
             Ok(slot) => return Ok(slot),
-            Err(refused) => refused,
+            Err(failed) => failed,
         };
-        let mut again = std::mem::take(&mut refused.full);
-        with_most_servers(again.iter_mut().filter_map(|(_, counts)| counts.as_mut()));
-        let slot = self.reserve_now(snapshot, wanted, &again).await;
-        slot.map_err(|_| refused)
+        let mut full = std::mem::take(&mut failed.full);
+        with_most_servers(full.iter_mut().filter_map(|(_, counts)| counts.as_mut()));
+        let slot = self.reserve_first_granted(snapshot, wanted, &full).await;
+        slot.map_err(|_| failed)
     }
 
-    async fn reserve_now(
+    async fn reserve_first_granted(
         &self,
         snapshot: &Snapshot,
-        wanted: &WantedSlot<'_>,
-        asked: &[Asked],
-    ) -> Result<Slot, Refused> {
-        let mut refused = Refused::default();
+        wanted: &SlotRequest<'_>,
+        candidates: &[SlotCandidate],
+    ) -> Result<Slot, FailedRound> {
+        let mut failed = FailedRound::default();
         let Some(pool) = snapshot.pools.get(wanted.pool) else {
-            return Err(refused);
+            return Err(failed);
         };
-        for (candidate, refusal) in asked {
+        for (candidate, refusal) in candidates {
             let Some(server) = pool.server(candidate.server) else {
                 continue;
             };
@@ -143,15 +144,15 @@
                 uncached_tokens: candidate.uncached_tokens,
                 refusal: *refusal,
             };
-            let reservation = match self.reserve_on(wish, snapshot).await {
+            let reservation = match self.reserve_on_server(wish, snapshot).await {
                 Ok(reservation) => reservation,
                 Err(SlotRefusal::Full(counts)) => {
-                    refused.full.push((*candidate, Some(counts)));
+                    failed.full.push((*candidate, Some(counts)));
                     continue;
                 }
                 Err(SlotRefusal::Unexplained) => continue,
                 Err(SlotRefusal::NotSteward | SlotRefusal::Silent) => {
-                    refused.lacks_steward = true;
+                    failed.lacks_steward = true;
                     continue;
                 }
             };
@@ -166,16 +167,16 @@
                 _reservation: reservation,
             });
         }
-        Err(refused)
+        Err(failed)
     }
 
-    /// A reservation on a server, or why there is none.
-    async fn reserve_on(
+    /// Reserves a slot on one server.
+    async fn reserve_on_server(
         &self,
         wish: SlotWish,
         snapshot: &Snapshot,
     ) -> Result<Reservation, SlotRefusal> {
-        // Without the control thread nothing is decided any more.
+        // There is no reply only if the control thread has ended.
         let begun = self.control.begin(wish).await;
         let begun = begun.ok_or(SlotRefusal::Unexplained)?;
         let reservation = Reservation {
@@ -184,7 +185,7 @@
         };
         match begun.place {
             Place::Here(Grant::Granted) => Ok(reservation),
-            // What is held here is known here, when it is asked again.
+            // This router counts these slots itself, so a second request needs no counts.
             Place::Here(Grant::Full) => Err(SlotRefusal::Full(FullServer::default())),
             Place::Here(Grant::NotSteward) | Place::Nowhere => Err(SlotRefusal::NotSteward),
             Place::Peer(address) => {
@@ -195,21 +196,21 @@
                     bound_share: wish.bound_share as f32,
                     in_flight: begun.in_flight,
                 };
-                let asked = self.ask_steward(address, request, begun.told).await;
-                asked.map(|()| reservation)
+                let granted = self.reserve_at_steward(address, request, begun.told).await;
+                granted.map(|()| reservation)
             }
         }
     }
 
-    /// Asks a peer for a slot, and tells the control thread of the answer.
-    async fn ask_steward(
+    /// Asks the steward at `address` for a slot and reports the answer to the control thread.
+    async fn reserve_at_steward(
         &self,
         address: SocketAddr,
         request: ReserveRequest,
-        told: Option<ToldLoad>,
+        pool_load: Option<ToldLoad>,
     ) -> Result<(), SlotRefusal> {
         let reservation = request.reservation;
-        let reply = self.peers.reserve(address, request, told).await;
+        let reply = self.peers.reserve(address, request, pool_load).await;
         if reply.as_ref().is_err_and(PeerError::is_refused) {
             self.control.send(Command::AddressRefused { address });
         }
--- a/crates/sapphiretrackd/src/dispatch/warm.rs
+++ b/crates/sapphiretrackd/src/dispatch/warm.rs
@@ -1,17 +1,17 @@
-//! The opaque value that tells where a chat is warm: written, and read without trust.
+//! The opaque value by which callers return a warm hint; it is parsed as untrusted input.
 
 use sapphiretrack_core::{ServerId, WarmHint};
 
-/// The value for a caller.
-pub(crate) fn write_warm(hint: WarmHint) -> String {
+/// Encodes a hint for a caller.
+pub(crate) fn encode_warm_hint(hint: WarmHint) -> String {
     format!(
         "{:016x}.{:016x}.{:x}",
         hint.server.0, hint.incarnation, hint.tokens
     )
 }
 
-/// Reads a caller's value; anything else than our own form is no hint.
-pub(crate) fn read_warm(text: &str) -> Option<WarmHint> {
+/// Parses the value of a caller; returns `None` if it is malformed.
+pub(crate) fn parse_warm_hint(text: &str) -> Option<WarmHint> {
     let mut parts = text.split('.');
     let server = u64::from_str_radix(parts.next()?, 16).ok()?;
     let incarnation = u64::from_str_radix(parts.next()?, 16).ok()?;
--- a/crates/sapphiretrackd/src/dispatch/whole.rs
+++ b/crates/sapphiretrackd/src/dispatch/whole.rs
@@ -1,4 +1,4 @@
-//! Chat answers that are put together whole, and whole ones that are given as a stream.
+//! Chat answers as one JSON object: assembled from a stream, or replayed as one.
 
 use sapphiretrack_caller::{Answer, StreamEvent, WholeAnswer};
 use sapphiretrack_core::{Chunk, ChunkChoice, Delta, Refusal, RefusalCode, Usage};
@@ -7,39 +7,39 @@
 
 /// A chat answer as one JSON object.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub(crate) struct WholeChat {
+pub(crate) struct ChatCompletion {
     id: String,
     object: String,
     model: String,
-    choices: Vec<WholeChoice>,
+    choices: Vec<CompletionChoice>,
     usage: Usage,
 }
 
-/// The one choice of a whole chat answer.
+/// The only choice of a chat completion.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct WholeChoice {
+struct CompletionChoice {
     index: u32,
-    message: WholeMessage,
+    message: CompletionMessage,
     finish_reason: Option<String>,
 }
 
-/// The message of a whole chat answer.
+/// The message of a chat completion.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct WholeMessage {
+struct CompletionMessage {
     role: String,
     content: String,
 }
 
-impl WholeChat {
-    /// An answer without text yet.
+impl ChatCompletion {
+    /// Creates a completion without text.
     pub(crate) fn new(id: &str, model: &str) -> Self {
         Self {
             id: id.to_owned(),
             object: String::from("chat.completion"),
             model: model.to_owned(),
-            choices: vec![WholeChoice {
+            choices: vec![CompletionChoice {
                 index: 0,
-                message: WholeMessage {
+                message: CompletionMessage {
                     role: String::from("assistant"),
                     content: String::new(),
                 },
@@ -49,24 +49,24 @@
         }
     }
 
-    /// Takes in the next part of the answer.
-    pub(crate) fn add(&mut self, chunk: Chunk) {
+    /// Appends the next chunk of the answer.
+    pub(crate) fn append(&mut self, chunk: Chunk) {
         self.usage = chunk.usage.unwrap_or(self.usage);
-        let Some(whole) = self.choices.first_mut() else {
+        let Some(choice_so_far) = self.choices.first_mut() else {
             return;
         };
         for choice in chunk.choices {
             let text = choice.delta.content.unwrap_or_default();
-            whole.message.content.push_str(&text);
+            choice_so_far.message.content.push_str(&text);
             if choice.finish_reason.is_some() {
-                whole.finish_reason = choice.finish_reason;
+                choice_so_far.finish_reason = choice.finish_reason;
             }
         }
     }
 
-    /// The answer's JSON.
+    /// Serializes the completion as JSON.
     pub(crate) fn to_json(&self) -> String {
-        // By way of a value, whose keys are sorted: the same text for the same answer.
+        // `serde_json::Value` sorts its keys, so that equal answers have the same text.
         serde_json::to_value(self).unwrap_or_default().to_string()
     }
 
@@ -90,18 +90,18 @@
     }
 }
 
-/// Puts a stream together for a caller that wants the answer whole.
-pub(crate) async fn collect_whole(
+/// Collects a stream into one object for a caller that did not request a stream.
+pub(crate) async fn collect_completion(
     mut events: mpsc::Receiver<StreamEvent>,
     warm: String,
     model: &str,
 ) -> Answer {
-    let mut whole = WholeChat::new("", model);
+    let mut completion = ChatCompletion::new("", model);
     loop {
         match events.recv().await {
             Some(StreamEvent::Chunk(chunk)) => {
-                whole.id.clone_from(&chunk.id);
-                whole.add(*chunk);
+                completion.id.clone_from(&chunk.id);
+                completion.append(*chunk);
             }
             Some(StreamEvent::End) => break,
             Some(StreamEvent::Error(refusal)) => return Answer::Refused(refusal),
@@ -114,26 +114,26 @@
     Answer::Whole(WholeAnswer {
         status: 200,
         content_type: String::from("application/json"),
-        body: whole.to_json().into(),
+        body: completion.to_json().into(),
         warm: Some(warm),
     })
 }
 
-/// Gives a recorded chat answer in the form that the caller asked for.
-pub(crate) fn replay_chat(recorded: WholeAnswer, wants_stream: bool) -> Answer {
+/// Returns a recorded chat answer in the form that the caller requested.
+pub(crate) fn replay_completion(recorded: WholeAnswer, wants_stream: bool) -> Answer {
     if !wants_stream {
         return Answer::Whole(recorded);
     }
-    let whole: WholeChat = match serde_json::from_slice(&recorded.body) {
-        Ok(whole) => whole,
+    let completion: ChatCompletion = match serde_json::from_slice(&recorded.body) {
+        Ok(completion) => completion,
         Err(error) => {
             let message = format!("the request ran; its recorded answer cannot be read: {error}");
             return Answer::Refused(Refusal::unknown(RefusalCode::AlreadyClaimed, message));
         }
     };
     let (events, receiver) = mpsc::channel(2);
-    // Both fit into the channel.
-    drop(events.try_send(StreamEvent::Chunk(Box::new(whole.into_chunk()))));
+    // The channel has capacity for both.
+    drop(events.try_send(StreamEvent::Chunk(Box::new(completion.into_chunk()))));
     drop(events.try_send(StreamEvent::End));
     Answer::Stream {
         warm: String::new(),
--- a/crates/sapphiretrackd/src/hand_over.rs
+++ b/crates/sapphiretrackd/src/hand_over.rs
@@ -1,4 +1,4 @@
-//! Hands what this router knows of warm chats over to its peers, at a planned stop.
+//! Sends this router's placement memory to its peers during a planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 
 use crate::control::ControlHandle;
 use crate::events::Event;
-use crate::warm_memory::{HANDED_CHATS, WARM_FOR_MS, WarmMemory};
+use crate::warm_memory::{MAX_SHARED_CHATS, MAX_WARM_AGE_MS, WarmMemory};
 use crate::warm_snapshots::WarmSnapshots;
 
-/// Peers that are told at a time.
-const PEERS_AT_ONCE: usize = 4;
-/// How long telling all peers may take.
+/// Peers that are sent the memory concurrently.
+const MAX_CONCURRENT_PEERS: usize = 4;
+/// The time limit for sending the memory to all peers.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(3);
-/// Ages are kept in whole seconds.
+/// The resolution of ages in the placement memory.
 const AGE_ROUNDING_MS: u64 = 1_000;
 
-/// Tells peers where chats are warm.
+/// Sends the placement memory to peers.
 #[derive(Clone)]
 pub(crate) struct HandOver {
     pub(crate) control: ControlHandle,
@@ -29,28 +29,28 @@
 }
 
 impl HandOver {
-    /// Tells every live peer what was noted in the last `max_age_ms`. A caller may come to any
-    /// router of the cell, so each of them has to know.
-    pub(crate) async fn tell_peers(self, max_age_ms: u64) {
-        let places = self
+    /// Sends the chats of the last `max_age_ms` to every live peer, since a caller may connect to
+    /// any router of the cell.
+    pub(crate) async fn send_to_peers(self, max_age_ms: u64) {
+        let chats = self
             .memory
-            .newest(HANDED_CHATS, max_age_ms.min(WARM_FOR_MS));
-        if places.is_empty() {
+            .newest(MAX_SHARED_CHATS, max_age_ms.min(MAX_WARM_AGE_MS));
+        if chats.is_empty() {
             return;
         }
         let addresses = self.live_peers();
-        let asked = addresses.len();
-        let telling = futures::stream::iter(addresses)
-            .map(|address| tell(&self.peers, address, &places))
-            .buffer_unordered(PEERS_AT_ONCE)
-            .filter(|told| std::future::ready(*told))
+        let peer_count = addresses.len();
+        let sending = futures::stream::iter(addresses)
+            .map(|address| send_chats(&self.peers, address, &chats))
+            .buffer_unordered(MAX_CONCURRENT_PEERS)
+            .filter(|accepted| std::future::ready(*accepted))
             .count();
-        // A peer of an older release takes nothing in: that costs warmth only.
-        let told = tokio::time::timeout(HAND_OVER_LIMIT, telling).await;
+        // A peer of an older release rejects the list; its chats only lose their cached tokens.
+        let accepted_by = tokio::time::timeout(HAND_OVER_LIMIT, sending).await;
         Event::MEMORY_HANDED_OVER.log(&[
-            ("chats", &places.len().to_string()),
-            ("peers", &asked.to_string()),
-            ("took_all", &told.unwrap_or_default().to_string()),
+            ("chats", &chats.len().to_string()),
+            ("peers", &peer_count.to_string()),
+            ("took_all", &accepted_by.unwrap_or_default().to_string()),
         ]);
     }
 
@@ -64,9 +64,13 @@
     }
 }
 
-/// Whether a peer took all of it.
-async fn tell(peers: &PeerClient, address: SocketAddr, places: &[(ChatKey, WarmHint)]) -> bool {
-    for part in places.chunks(MAX_HANDED_CHATS) {
+/// Sends all chats to one peer. Returns false if the peer did not accept all of them.
+async fn send_chats(
+    peers: &PeerClient,
+    address: SocketAddr,
+    chats: &[(ChatKey, WarmHint)],
+) -> bool {
+    for part in chats.chunks(MAX_HANDED_CHATS) {
         let list = WarmList::new(part.iter().copied());
         if peers.hand_over(address, list).await.is_err() {
             return false;
@@ -75,12 +79,18 @@
     true
 }
 
-/// Passes on where chats are warm: at once for chats that come back elsewhere, and what came
-/// meanwhile when callers have left.
-pub(crate) async fn pass_on(hand_over: HandOver, snapshots: WarmSnapshots, entry_ttl_ms: u64) {
-    let began = tokio::time::Instant::now();
-    hand_over.clone().tell_peers(WARM_FOR_MS).await;
-    tokio::time::sleep_until(began + Duration::from_millis(entry_ttl_ms)).await;
-    let since_ms = began.elapsed().as_millis() as u64 + AGE_ROUNDING_MS;
-    tokio::join!(hand_over.tell_peers(since_ms), snapshots.write_last());
+/// Sends the placement memory to the peers twice and writes a last snapshot.
+///
+/// It is sent at once for chats that continue on other routers. What was added since is sent after
+/// `entry_ttl_ms`, when callers no longer use a lookup made before the stop.
+pub(crate) async fn hand_over_memory(
+    hand_over: HandOver,
+    snapshots: WarmSnapshots,
+    entry_ttl_ms: u64,
+) {
+    let started_at = tokio::time::Instant::now();
+    hand_over.clone().send_to_peers(MAX_WARM_AGE_MS).await;
+    tokio::time::sleep_until(started_at + Duration::from_millis(entry_ttl_ms)).await;
+    let since_ms = started_at.elapsed().as_millis() as u64 + AGE_ROUNDING_MS;
+    tokio::join!(hand_over.send_to_peers(since_ms), snapshots.write_last());
 }
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -1,4 +1,4 @@
-//! Enforces the limits of contracts on this router, with what it leases from their stewards.
+//! Enforces the limits of contracts on this router with budgets leased from their stewards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,11 +15,12 @@
 use crate::clock::{Clock, wall_clock_ms};
 use crate::control::{BudgetPlace, Command, ControlHandle};
 
-/// How often leases are renewed and unused chunks given back.
+/// Interval at which leases are renewed and unused chunks are returned.
 const RENEW_PERIOD: Duration = Duration::from_millis(250);
-/// When to come back to a full pool for a customer that has its share.
-const FULL_POOL_RETRY_MS: u64 = 500;
-/// Bits of a question's number that count up within one run of the router.
+/// Retry delay for a customer that already has its share of a full pool.
+const FULL_POOL_RETRY_AFTER_MS: u64 = 500;
+/// Low bits of a budget request's sequence number, which count requests; the bits above hold a time
+/// in milliseconds.
 const SEQUENCE_BITS: u32 = 20;
 
 /// The limits of all customers.
@@ -30,34 +31,34 @@
     peers: PeerClient,
     router: RouterId,
     first_sequence: u64,
-    customers: Arc<Mutex<BTreeMap<String, Arc<CustomerEntry>>>>,
-    /// What the customers have of each pool.
+    customers: Arc<Mutex<BTreeMap<String, Arc<LocalBudget>>>>,
+    /// The customers' shares of each pool.
     pools: Arc<Mutex<BTreeMap<String, PoolShares>>>,
 }
 
-/// What this router holds of one customer's budget.
-struct CustomerEntry {
+/// This router's part of a customer's budget.
+struct LocalBudget {
     customer: String,
     held: Mutex<HeldBudget>,
-    /// Only one question to the steward at a time; its answer may serve those that wait.
-    asking: tokio::sync::Mutex<()>,
+    /// Held during a request to the steward; its grant may also cover the requests that wait.
+    steward_request: tokio::sync::Mutex<()>,
 }
 
-/// Keeps one place under the in-flight limit, and in the pool, until it is dropped.
-pub(crate) struct InFlightPlace {
-    _budget: BudgetPlaceTaken,
+/// A permit under the in-flight limit of the contract and in the pool, released on drop.
+pub(crate) struct InFlightPermit {
+    _budget: BudgetPermit,
     table: LimitTable,
     customer: String,
     pool: String,
 }
 
-/// Keeps one place under the in-flight limit until it is dropped.
-struct BudgetPlaceTaken {
-    entry: Arc<CustomerEntry>,
+/// A permit under the in-flight limit of the contract, released on drop.
+struct BudgetPermit {
+    entry: Arc<LocalBudget>,
 }
 
 impl LimitTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(crate) fn new(
         clock: Clock,
         control: ControlHandle,
@@ -75,26 +76,25 @@
         }
     }
 
-    /// Takes a request in, or refuses it with when to come back.
-    pub(crate) async fn enter(
+    /// Admits a request, or refuses it with a retry delay.
+    pub(crate) async fn admit(
         &self,
         contract: &Contract,
         pool: &str,
         tokens: u32,
         deadline_ms: u64,
-    ) -> Result<InFlightPlace, Refusal> {
-        let budget = self.enter_budget(contract, tokens, deadline_ms).await?;
+    ) -> Result<InFlightPermit, Refusal> {
+        let budget = self.admit_to_budget(contract, tokens, deadline_ms).await?;
         let weight = f64::from(contract.limits.in_flight);
         let now_ms = self.clock.now_ms();
         let mut pools = self.lock_pools();
         let shares = pools.entry(pool.to_owned()).or_default();
         if !shares.try_enter(&contract.customer, weight, now_ms) {
             let message = format!("{pool:?} is full and the customer has its share of it");
-            return Err(
-                Refusal::not_run(RefusalCode::Overloaded, message).retry_after(FULL_POOL_RETRY_MS)
-            );
+            return Err(Refusal::not_run(RefusalCode::Overloaded, message)
+                .retry_after(FULL_POOL_RETRY_AFTER_MS));
         }
-        Ok(InFlightPlace {
+        Ok(InFlightPermit {
             _budget: budget,
             table: self.clone(),
             customer: contract.customer.clone(),
@@ -102,15 +102,15 @@
         })
     }
 
-    /// Notes that a pool refused a request for want of room.
-    pub(crate) fn note_full(&self, pool: &str) {
+    /// Records that a pool refused a request because it was full.
+    pub(crate) fn record_full_pool(&self, pool: &str) {
         let now_ms = self.clock.now_ms();
         if let Some(shares) = self.lock_pools().get_mut(pool) {
             shares.note_full(now_ms);
         }
     }
 
-    /// The part of a server's bound that a customer's requests may fill in a pool.
+    /// Returns the share of a server's load bound that a customer's requests may fill in a pool.
     pub(crate) fn bound_share(&self, customer: &str, pool: &str) -> f64 {
         let now_ms = self.clock.now_ms();
         let pools = self.lock_pools();
@@ -118,57 +118,62 @@
         shares.map_or(1.0, |shares| shares.bound_share(customer, now_ms))
     }
 
-    async fn enter_budget(
+    async fn admit_to_budget(
         &self,
         contract: &Contract,
         tokens: u32,
         deadline_ms: u64,
-    ) -> Result<BudgetPlaceTaken, Refusal> {
+    ) -> Result<BudgetPermit, Refusal> {
         let entry = self.entry(&contract.customer);
         let tokens = f64::from(tokens);
-        if let Some(decided) = self.decide_here(&entry, contract, tokens) {
+        if let Some(decided) = self.decide_locally(&entry, contract, tokens) {
             return decided;
         }
-        let _turn = entry.asking.lock().await;
-        // The answer to the one before may have brought enough.
-        if let Some(decided) = self.decide_here(&entry, contract, tokens) {
+        let _guard = entry.steward_request.lock().await;
+        // The grant for the previous request may cover this one.
+        if let Some(decided) = self.decide_locally(&entry, contract, tokens) {
             return decided;
         }
-        match self.ask_for(&entry, contract, tokens, deadline_ms).await {
-            Ok(()) => Ok(BudgetPlaceTaken {
+        match self
+            .lease_until_decided(&entry, contract, tokens, deadline_ms)
+            .await
+        {
+            Ok(()) => Ok(BudgetPermit {
                 entry: entry.clone(),
             }),
-            Err(shortage) => Err(refusal(contract, shortage)),
+            Err(shortage) => Err(shortage_refusal(contract, shortage)),
         }
     }
 
-    /// Asks the steward; again and ever rarer while none answers, since it may be changing, and
-    /// while this router's part of the emergency share does not decide.
-    async fn ask_for(
+    /// Leases budget from the steward until the request is decided.
+    ///
+    /// If no steward answers, this router's part of the emergency share decides. If that does not
+    /// decide either, the steward is asked again with growing delays, since it may be changing.
+    async fn lease_until_decided(
         &self,
-        entry: &Arc<CustomerEntry>,
+        entry: &Arc<LocalBudget>,
         contract: &Contract,
         tokens: f64,
         deadline_ms: u64,
     ) -> Result<(), Shortage> {
-        let began_ms = self.clock.now_ms();
+        let started_ms = self.clock.now_ms();
         loop {
             let asked_ms = self.clock.now_ms();
             let ask = entry.lock().ask(self.router, &entry.customer, Some(tokens));
-            let answer = self.ask_steward(ask).await;
+            let answer = self.lease_from_steward(ask).await;
             let now_ms = self.clock.now_ms();
             if let Some((steward, grant)) = answer {
                 let mut held = entry.lock();
                 held.answered_by(steward);
                 return held.take_grant(&grant, tokens, asked_ms, now_ms);
             }
-            self.note_no_steward(entry, contract);
+            self.use_emergency_share(entry, contract);
             match entry.lock().try_admit(tokens, &contract.limits, now_ms) {
                 Admission::Admitted => return Ok(()),
                 Admission::Refused(shortage) => return Err(shortage),
                 Admission::Ask => {}
             }
-            let waited_ms = now_ms.saturating_sub(began_ms);
+            let waited_ms = now_ms.saturating_sub(started_ms);
             let left_ms = deadline_ms.saturating_sub(waited_ms);
             let wait = wait_for_steward(&WaitSettings::default(), waited_ms, left_ms);
             let Some(wait_ms) = wait else {
@@ -180,14 +185,14 @@
         }
     }
 
-    /// From now on this router's part of the emergency share decides, until a steward answers.
-    fn note_no_steward(&self, entry: &CustomerEntry, contract: &Contract) {
+    /// Applies this router's part of the emergency share until a steward answers.
+    fn use_emergency_share(&self, entry: &LocalBudget, contract: &Contract) {
         let part = EmergencyPart::new(self.router, &self.live_routers(), &entry.customer);
         let now_ms = self.clock.now_ms();
         entry.lock().no_steward(part, &contract.limits, now_ms);
     }
 
-    /// The routers that are seen or listed as live, without order.
+    /// Returns the routers that are seen or listed as live, including this one.
     fn live_routers(&self) -> BTreeSet<RouterId> {
         let snapshot = self.control.snapshot();
         let seen = snapshot.routers.iter();
@@ -200,31 +205,31 @@
             .collect()
     }
 
-    /// Charges generated tokens.
+    /// Charges generated tokens to a customer's budget.
     pub(crate) fn charge_tokens(&self, customer: &str, tokens: u32, now_ms: u64) {
         self.entry(customer)
             .lock()
             .charge_tokens(f64::from(tokens), now_ms);
     }
 
-    /// Renews leases and gives unused chunks back, again and again.
-    pub(crate) async fn renew(self) {
+    /// Renews leases and returns unused chunks until the process ends.
+    pub(crate) async fn renew_leases(self) {
         let mut period = tokio::time::interval(RENEW_PERIOD);
         period.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             period.tick().await;
-            let entries: Vec<Arc<CustomerEntry>> = self.lock().values().cloned().collect();
+            let entries: Vec<Arc<LocalBudget>> = self.lock().values().cloned().collect();
             for entry in entries {
                 let table = self.clone();
-                tokio::spawn(async move { table.renew_one(&entry).await });
+                tokio::spawn(async move { table.renew_customer(&entry).await });
             }
             self.lock()
                 .retain(|_, entry| Arc::strong_count(entry) > 1 || !entry.lock().is_idle());
         }
     }
 
-    async fn renew_one(&self, entry: &CustomerEntry) {
-        let Ok(_turn) = entry.asking.try_lock() else {
+    async fn renew_customer(&self, entry: &LocalBudget) {
+        let Ok(_guard) = entry.steward_request.try_lock() else {
             return;
         };
         let config = self.control.snapshot().config.clone();
@@ -236,36 +241,36 @@
             .lock()
             .end_period(self.router, &entry.customer, &contract.limits, asked_ms);
         let Some(ask) = ask else { return };
-        let Some((steward, grant)) = self.ask_steward(ask).await else {
-            return self.note_no_steward(entry, contract);
+        let Some((steward, grant)) = self.lease_from_steward(ask).await else {
+            return self.use_emergency_share(entry, contract);
         };
         let now_ms = self.clock.now_ms();
         let mut held = entry.lock();
         held.answered_by(steward);
-        // Nothing waits for this answer, so it refuses nothing.
-        let _nothing_waits = held.take_grant(&grant, 0.0, asked_ms, now_ms);
+        // No request waits for this grant, so a shortage refuses none.
+        let _ignored = held.take_grant(&grant, 0.0, asked_ms, now_ms);
     }
 
-    /// Decides without the steward; none if that has to be asked.
-    fn decide_here(
+    /// Decides from the budget held here. Returns `None` if the steward has to be asked.
+    fn decide_locally(
         &self,
-        entry: &Arc<CustomerEntry>,
+        entry: &Arc<LocalBudget>,
         contract: &Contract,
         tokens: f64,
-    ) -> Option<Result<BudgetPlaceTaken, Refusal>> {
+    ) -> Option<Result<BudgetPermit, Refusal>> {
         let now_ms = self.clock.now_ms();
         let admission = entry.lock().try_admit(tokens, &contract.limits, now_ms);
         match admission {
-            Admission::Admitted => Some(Ok(BudgetPlaceTaken {
+            Admission::Admitted => Some(Ok(BudgetPermit {
                 entry: entry.clone(),
             })),
-            Admission::Refused(shortage) => Some(Err(refusal(contract, shortage))),
+            Admission::Refused(shortage) => Some(Err(shortage_refusal(contract, shortage))),
             Admission::Ask => None,
         }
     }
 
-    /// The steward and its answer; none if it does not answer, or is not one.
-    async fn ask_steward(&self, ask: BudgetAsk) -> Option<(RouterId, BudgetGrant)> {
+    /// Asks the steward for budget. Returns `None` if it does not answer or is not the steward.
+    async fn lease_from_steward(&self, ask: BudgetAsk) -> Option<(RouterId, BudgetGrant)> {
         let (steward, reply) = match self.control.lease_budget(ask).await? {
             BudgetPlace::Here(reply) => (self.router, reply),
             BudgetPlace::Peer {
@@ -286,21 +291,21 @@
         }
     }
 
-    fn entry(&self, customer: &str) -> Arc<CustomerEntry> {
+    fn entry(&self, customer: &str) -> Arc<LocalBudget> {
         let mut customers = self.lock();
         if let Some(entry) = customers.get(customer) {
             return entry.clone();
         }
-        let entry = Arc::new(CustomerEntry {
+        let entry = Arc::new(LocalBudget {
             customer: customer.to_owned(),
             held: Mutex::new(HeldBudget::new(self.next_first_sequence())),
-            asking: tokio::sync::Mutex::default(),
+            steward_request: tokio::sync::Mutex::default(),
         });
         customers.insert(customer.to_owned(), entry.clone());
         entry
     }
 
-    /// Above all numbers of entries that were forgotten before.
+    /// Returns a number above the sequence numbers of all entries that were removed before.
     fn next_first_sequence(&self) -> u64 {
         self.first_sequence + (self.clock.now_ms() << SEQUENCE_BITS)
     }
@@ -309,26 +314,26 @@
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Arc<CustomerEntry>>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Arc<LocalBudget>>> {
         self.customers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl CustomerEntry {
+impl LocalBudget {
     fn lock(&self) -> MutexGuard<'_, HeldBudget> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for BudgetPlaceTaken {
+impl Drop for BudgetPermit {
     fn drop(&mut self) {
         self.entry.lock().leave();
     }
 }
 
-impl Drop for InFlightPlace {
+impl Drop for InFlightPermit {
     fn drop(&mut self) {
         if let Some(shares) = self.table.lock_pools().get_mut(&self.pool) {
             shares.leave(&self.customer);
@@ -336,7 +341,7 @@
     }
 }
 
-fn refusal(contract: &Contract, shortage: Shortage) -> Refusal {
+fn shortage_refusal(contract: &Contract, shortage: Shortage) -> Refusal {
     let retry_after_ms = shortage.retry_after_ms();
     let refusal = match shortage {
         Shortage::Rate { .. } => {
--- a/crates/sapphiretrackd/src/metrics.rs
+++ b/crates/sapphiretrackd/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics by `prometheus-client`.
+//! Metrics in the Prometheus text format.
 //!
-//! Labels are customers and classes, never workspaces or chats, so that their number is bounded
-//! by the contracts; beyond [`MAX_LABEL_SETS`] further customers share the label `other`.
+//! Labels are customers and classes, never workspaces or chats, so that the contracts bound their
+//! number. Pairs beyond [`MAX_LABEL_SETS`] share the label `other`.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,25 +15,25 @@
 use prometheus_client::registry::Registry;
 use sapphiretrack_core::RefusalCode;
 
-/// The most customer and class pairs with labels of their own.
+/// The maximum number of customer and class pairs with labels of their own.
 const MAX_LABEL_SETS: usize = 512;
-/// The label of all others.
+/// The label of all further pairs.
 const OTHER_LABEL: &str = "other";
 
-/// A customer's class.
+/// Labels for the class of a customer.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct ClassLabels {
     customer: String,
     class: String,
 }
 
-/// A refusal's code.
+/// Label for the code of a refusal.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CodeLabels {
     code: &'static str,
 }
 
-/// A kind of control traffic.
+/// Label for a kind of control traffic.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct KindLabels {
     kind: &'static str,
@@ -50,44 +50,44 @@
     control_bytes: Family<KindLabels, Counter>,
     /// Attempts beyond a request's first.
     pub(crate) retries: Counter,
-    /// Late or crossed replies that were dropped.
+    /// Dropped replies to another attempt.
     pub(crate) crossed_replies: Counter,
-    /// Foreign or malformed peer messages.
+    /// Peer messages with a wrong signature or malformed content.
     pub(crate) rejected_peer_messages: Counter,
     /// Prompt tokens of answered requests.
     pub(crate) prompt_tokens: Counter,
-    /// Of them, those that an engine found in its cache.
+    /// Those of them that an engine found in its cache.
     pub(crate) cached_tokens: Counter,
-    /// Callers' requests in flight.
+    /// Requests of callers in flight.
     pub(crate) in_flight: Gauge,
     /// The configuration version in force.
     pub(crate) config_version: Gauge,
 }
 
 /// Counts one request as in flight until it is dropped.
-pub(crate) struct InFlight(Arc<Metrics>);
+pub(crate) struct InFlightGuard(Arc<Metrics>);
 
-impl InFlight {
-    /// Starts to count.
-    pub(crate) fn begin(metrics: &Arc<Metrics>) -> Self {
+impl InFlightGuard {
+    /// Counts a request.
+    pub(crate) fn new(metrics: &Arc<Metrics>) -> Self {
         metrics.in_flight.inc();
         Self(metrics.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.dec();
     }
 }
 
 impl Metrics {
-    /// Requests whose answers are not whole on their way.
+    /// Returns the number of requests in flight.
     pub(crate) fn requests_in_flight(&self) -> u64 {
         self.in_flight.get().max(0) as u64
     }
 
-    /// All metrics, registered.
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("sapphiretrack");
         let histogram: fn() -> Histogram = || Histogram::new(exponential_buckets(0.005, 2.0, 16));
@@ -137,11 +137,11 @@
             in_flight: Gauge::default(),
             config_version: Gauge::default(),
         };
-        metrics.register_plain();
+        metrics.register_unlabeled();
         metrics
     }
 
-    /// The labels of a customer's class; their number is bounded.
+    /// Returns the labels for a class of a customer, or the shared ones beyond [`MAX_LABEL_SETS`].
     pub(crate) fn labels(&self, customer: &str, class: &str) -> ClassLabels {
         let labels = ClassLabels {
             customer: customer.to_owned(),
@@ -161,19 +161,19 @@
         }
     }
 
-    /// Notes the time to a first token.
-    pub(crate) fn first_token(&self, labels: &ClassLabels, seconds: f64) {
+    /// Records the time to the first token of an answer.
+    pub(crate) fn record_first_token(&self, labels: &ClassLabels, seconds: f64) {
         self.first_token_s.get_or_create(labels).observe(seconds);
     }
 
-    /// Notes a whole answer.
-    pub(crate) fn whole_answer(&self, labels: &ClassLabels, seconds: f64) {
+    /// Counts a complete answer and records its time.
+    pub(crate) fn record_answer(&self, labels: &ClassLabels, seconds: f64) {
         self.whole_time_s.get_or_create(labels).observe(seconds);
         self.answers.get_or_create(labels).inc();
     }
 
-    /// Notes an answer without a result.
-    pub(crate) fn refused(&self, code: RefusalCode) {
+    /// Counts a refusal.
+    pub(crate) fn count_refusal(&self, code: RefusalCode) {
         self.refusals
             .get_or_create(&CodeLabels {
                 code: code.as_str(),
@@ -181,13 +181,13 @@
             .inc();
     }
 
-    /// Sets a control byte counter to a total kept elsewhere.
+    /// Raises a control byte counter to a total that is counted elsewhere.
     pub(crate) fn control_bytes_total(&self, kind: &'static str, total: u64) {
         let counter = self.control_bytes.get_or_create(&KindLabels { kind });
         counter.inc_by(total.saturating_sub(counter.get()));
     }
 
-    /// The metrics as text.
+    /// Encodes the metrics as text.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
@@ -196,7 +196,7 @@
         }
     }
 
-    fn register_plain(&mut self) {
+    fn register_unlabeled(&mut self) {
         let counters = [
             (
                 "retries",
--- a/crates/sapphiretrackd/src/parts.rs
+++ b/crates/sapphiretrackd/src/parts.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router share, put together when it starts.
+//! Builds the components that the threads of a router share.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -32,25 +32,25 @@
 use crate::goals::GoalOperations;
 use crate::hand_over::HandOver;
 use crate::limits::LimitTable;
-use crate::metrics::{InFlight, Metrics};
+use crate::metrics::{InFlightGuard, Metrics};
 use crate::operations::Operations;
 use crate::settings::Settings;
 use crate::stopping::Stopping;
 use crate::warm_memory::WarmMemory;
 use crate::warm_snapshots::WarmSnapshots;
 
-/// When to come back to a router that has not got the contracts yet.
-const NO_CONFIG_RETRY_MS: u64 = 1_000;
-/// How long a load report is passed on.
+/// Retry delay of a router that has not received the contracts yet.
+const NO_CONFIG_RETRY_AFTER_MS: u64 = 1_000;
+/// The age above which a load report counts as stale.
 const REPORT_STALE_AFTER_MS: u64 = 2_000;
 
-/// The endpoints on the traffic threads.
+/// The endpoints that run on the traffic threads.
 pub(crate) struct Endpoints {
     pub(crate) callers: CallerServer,
     pub(crate) operators: HttpServer<OperatorHandlers>,
 }
 
-/// What the threads of a router share while it starts.
+/// The components that the threads of a router share.
 pub(crate) struct Parts {
     pub(crate) clock: Clock,
     pub(crate) control: ControlHandle,
@@ -160,7 +160,7 @@
             self.peers.clone(),
             RouterId::from_name(&settings.router_name),
         );
-        tokio::spawn(limits.clone().renew());
+        tokio::spawn(limits.clone().renew_leases());
         let dispatcher = Arc::new(Dispatcher {
             clock: self.clock,
             control: self.control.clone(),
@@ -178,24 +178,29 @@
             retries: Mutex::new(Dispatcher::retry_budget()),
             health: Health::default(),
         });
-        let for_keys = self.control.clone();
-        let for_entry = self.control.clone();
+        let keys_control = self.control.clone();
+        let entry_control = self.control.clone();
         let entry_ttl_ms = settings.entry_ttl_ms;
         let metrics = self.metrics.clone();
-        let counted = self.metrics.clone();
+        let in_flight_metrics = self.metrics.clone();
         let (arrivals, stopping) = (self.stopping.clone(), self.stopping.clone());
         CallerHandlers {
-            authenticate: Arc::new(move |key| contract_of_key(&for_keys.snapshot(), key)),
+            authenticate: Arc::new(move |key| contract_of_key(&keys_control.snapshot(), key)),
             entry: Arc::new(move |zone| {
-                entry_reply(&for_entry.snapshot(), zone, entry_ttl_ms, rand::random())
+                entry_reply(
+                    &entry_control.snapshot(),
+                    zone,
+                    entry_ttl_ms,
+                    rand::random(),
+                )
             }),
             is_stopping: Arc::new(move || stopping.has_begun()),
-            begin: Arc::new(move || RequestToken::new(InFlight::begin(&counted))),
+            begin: Arc::new(move || RequestToken::new(InFlightGuard::new(&in_flight_metrics))),
             run: Arc::new(move |request| {
-                arrivals.note_arrival();
+                arrivals.record_arrival();
                 dispatcher.run(request)
             }),
-            refused: Arc::new(move |refusal| metrics.refused(refusal.code)),
+            refused: Arc::new(move |refusal| metrics.count_refusal(refusal.code)),
         }
     }
 
@@ -287,7 +292,8 @@
     }
 }
 
-/// The contract that lists a key; a router that knows of no configuration cannot say.
+/// Returns the contract that lists a key. Without a configuration the refusal is temporary, since
+/// the key may be valid.
 fn contract_of_key(snapshot: &Snapshot, key: &str) -> Result<Arc<Contract>, Refusal> {
     if let Some(contract) = snapshot.keys.contract_of_key(key) {
         return Ok(contract.clone());
@@ -295,7 +301,7 @@
     if !snapshot.config_known {
         let message = "the router has not got the contracts yet";
         return Err(
-            Refusal::not_run(RefusalCode::Isolated, message).retry_after(NO_CONFIG_RETRY_MS)
+            Refusal::not_run(RefusalCode::Isolated, message).retry_after(NO_CONFIG_RETRY_AFTER_MS)
         );
     }
     let message = "no contract lists the key";
--- a/crates/sapphiretrackd/src/stopping.rs
+++ b/crates/sapphiretrackd/src/stopping.rs
@@ -1,4 +1,4 @@
-//! What a planned stop knows of the requests that still come.
+//! Decides during a planned stop when the endpoints may be closed.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 
-/// How often a planned stop looks whether it may close.
+/// Interval at which a planned stop checks whether it may close the endpoints.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Whether the planned stop began, and when the last request came.
+/// Whether the planned stop has begun, and when the last request arrived.
 pub(crate) struct Stopping {
     clock: Clock,
     begun: AtomicBool,
@@ -20,7 +20,7 @@
 }
 
 impl Stopping {
-    /// Of a router that serves.
+    /// Creates the state of a router that is not stopping.
     pub(crate) fn new(clock: Clock) -> Self {
         Self {
             clock,
@@ -29,19 +29,21 @@
         }
     }
 
-    /// Notes that a request came.
-    pub(crate) fn note_arrival(&self) {
+    /// Records the arrival of a request.
+    pub(crate) fn record_arrival(&self) {
         let now_ms = self.clock.now_ms();
         self.last_arrival_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    /// Whether the planned stop began.
+    /// Returns whether the planned stop has begun.
     pub(crate) fn has_begun(&self) -> bool {
         self.begun.load(Ordering::Relaxed)
     }
 
-    /// Begins the stop and serves on until the endpoints may be closed, up to the limit.
-    pub(crate) async fn serve_on(
+    /// Begins the stop and waits until the endpoints may be closed or the limit is reached.
+    ///
+    /// Requests are still served in the meantime.
+    pub(crate) async fn drain_requests(
         &self,
         settings: &Settings,
         metrics: &Metrics,
@@ -52,11 +54,11 @@
             entry_ttl_ms: settings.entry_ttl_ms,
             unheard_for_ms: settings.dead_after_ms,
         };
-        let began_ms = self.clock.now_ms();
+        let started_ms = self.clock.now_ms();
         while tokio::time::Instant::now() < limit {
             let now_ms = self.clock.now_ms();
             let quiet_ms = now_ms.saturating_sub(self.last_arrival_ms.load(Ordering::Relaxed));
-            if timing.may_close(now_ms - began_ms, quiet_ms, metrics.requests_in_flight()) {
+            if timing.may_close(now_ms - started_ms, quiet_ms, metrics.requests_in_flight()) {
                 return;
             }
             tokio::time::sleep(STOP_POLL).await;
--- a/crates/sapphiretrackd/src/warm_memory.rs
+++ b/crates/sapphiretrackd/src/warm_memory.rs
@@ -1,4 +1,4 @@
-//! What this router knows of warm chats, shared by the traffic and by those who pass it on.
+//! The placement memory: which server last served each chat and may still have its tokens cached.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -6,21 +6,21 @@
 
 use crate::clock::Clock;
 
-/// The most chats that are handed over: the newest ones.
-pub(crate) const HANDED_CHATS: usize = 10_000;
-/// What is older than this is neither passed on nor taken in.
-pub(crate) const WARM_FOR_MS: u64 = 3_600_000;
-/// Buckets, and chats, that are gone through at once: the traffic waits no longer than for these.
-const AT_ONCE: usize = 512;
+/// The maximum number of chats in a hand-over or snapshot; the newest ones are kept.
+pub(crate) const MAX_SHARED_CHATS: usize = 10_000;
+/// Older entries are neither sent nor merged.
+pub(crate) const MAX_WARM_AGE_MS: u64 = 3_600_000;
+/// Buckets or chats processed per lock, which bounds how long requests wait for it.
+const CHUNK_SIZE: usize = 512;
 
-/// The placement memory with the clock of its ages.
+/// The placement memory, shared between threads, with the clock for its ages.
 pub(crate) struct WarmMemory {
     clock: Clock,
     memory: Mutex<PlacementMemory>,
 }
 
 impl WarmMemory {
-    /// An empty memory for this many chats.
+    /// Creates an empty memory for at most `chats` chats.
     pub(crate) fn new(clock: Clock, chats: usize) -> Self {
         Self {
             clock,
@@ -28,42 +28,45 @@
         }
     }
 
-    /// Notes where a chat was served just now.
+    /// Records where a chat is served now.
     pub(crate) fn remember(&self, chat: ChatKey, place: WarmHint) {
         self.lock().remember(chat, place, self.clock.now_ms());
     }
 
-    /// Where a chat was last served.
+    /// Returns where a chat was last served.
     pub(crate) fn recall(&self, chat: ChatKey) -> Option<WarmHint> {
         self.lock().recall(chat, self.clock.now_ms())
     }
 
-    /// Takes in what another router knew `more_ms` ago; returns how much of it was news.
+    /// Merges what another router knew `more_ms` ago. Returns how many entries were new or
+    /// newer than the known ones.
     pub(crate) fn merge(&self, list: &WarmList, more_ms: u64) -> usize {
-        let places: Vec<_> = list.places(more_ms).collect();
-        let mut news = 0;
-        for part in places.chunks(AT_ONCE) {
+        let entries: Vec<_> = list.places(more_ms).collect();
+        let mut added = 0;
+        for part in entries.chunks(CHUNK_SIZE) {
             let now_ms = self.clock.now_ms();
             let mut memory = self.lock();
-            let fresh = part.iter().filter(|(_, place)| place.age_ms <= WARM_FOR_MS);
-            news += fresh
+            let recent = part
+                .iter()
+                .filter(|(_, place)| place.age_ms <= MAX_WARM_AGE_MS);
+            added += recent
                 .filter(|(chat, place)| memory.merge(*chat, *place, now_ms))
                 .count();
         }
-        news
+        added
     }
 
-    /// The newest places that are no older than `max_age_ms`.
+    /// Returns the newest entries that are not older than `max_age_ms`, at most `limit`.
     pub(crate) fn newest(&self, limit: usize, max_age_ms: u64) -> Vec<(ChatKey, WarmHint)> {
-        let mut places = Vec::new();
+        let mut entries = Vec::new();
         let buckets = self.lock().buckets();
-        for start in (0..buckets).step_by(AT_ONCE) {
+        for start in (0..buckets).step_by(CHUNK_SIZE) {
             let now_ms = self.clock.now_ms();
-            let part = start..start + AT_ONCE;
-            places.extend(self.lock().in_buckets(part, max_age_ms, now_ms));
+            let part = start..start + CHUNK_SIZE;
+            entries.extend(self.lock().in_buckets(part, max_age_ms, now_ms));
         }
-        keep_newest(&mut places, limit);
-        places
+        keep_newest(&mut entries, limit);
+        entries
     }
 
     fn lock(&self) -> MutexGuard<'_, PlacementMemory> {
