--- a/crates/sapphiretrackd/src/control/budgets.rs
+++ b/crates/sapphiretrackd/src/control/budgets.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::control::ControlState;
-use crate::control::handle::BudgetPlace;
+use crate::control::handle::BudgetRoute;
 
 /// A peer counts towards the share of budgets if it was seen within this percentage of
 /// `dead_after_ms`, the silence after which its budgets move to another steward.
@@ -72,16 +72,16 @@
 
 impl ControlState {
     /// Returns the peer that is the customer's steward, or this router's own answer if no peer is.
-    pub(crate) fn lease_budget(&mut self, ask: BudgetAsk, now_ms: u64) -> BudgetPlace {
+    pub(crate) fn lease_budget(&mut self, ask: BudgetAsk, now_ms: u64) -> BudgetRoute {
         let steward = budget_steward(&ask.customer, &self.stewards);
         let peer = steward.and_then(|steward| Some((steward, self.peers.get(steward)?)));
         match peer {
-            Some((steward, peer)) => BudgetPlace::Peer {
+            Some((steward, peer)) => BudgetRoute::Peer {
                 steward,
                 address: peer.profile.peer_address,
                 ask,
             },
-            None => BudgetPlace::Here(self.answer_budget_ask(&ask, now_ms)),
+            None => BudgetRoute::Local(self.answer_budget_ask(&ask, now_ms)),
         }
     }
 
--- a/crates/sapphiretrackd/src/control/handle.rs
+++ b/crates/sapphiretrackd/src/control/handle.rs
@@ -26,25 +26,25 @@
     /// A traffic thread asks for a slot.
     BeginReservation {
         /// The server and the conditions.
-        request: SlotWish,
+        request: ReservationRequest,
         /// Receives the reply.
         reply: oneshot::Sender<BegunReservation>,
     },
     /// A peer granted a slot that this router had asked for.
-    Granted {
+    SlotGranted {
         /// The reservation.
         reservation: ReservationId,
     },
     /// A peer did not grant a slot that this router had asked for. The reservation is ended by a
     /// command that follows.
-    Refused {
+    SlotRefused {
         /// The reservation.
         reservation: ReservationId,
         /// The reason.
         refusal: SlotRefusal,
     },
     /// A reservation has ended, whether it was granted or not.
-    End {
+    EndReservation {
         /// The reservation.
         reservation: ReservationId,
     },
@@ -86,7 +86,7 @@
         /// The amounts that the router holds and asks for.
         ask: BudgetAsk,
         /// Receives the reply.
-        reply: oneshot::Sender<BudgetPlace>,
+        reply: oneshot::Sender<BudgetRoute>,
     },
     /// A peer's address refused a connection.
     PeerConnectionRefused {
@@ -96,7 +96,7 @@
         incarnation: Incarnation,
     },
     /// A steward's address refused a connection.
-    AddressRefused {
+    StewardConnectionRefused {
         /// The address at which the steward serves peers.
         address: SocketAddr,
     },
@@ -117,15 +117,15 @@
     /// The peer is not the server's steward, or cannot grant yet.
     NotSteward,
     /// The peer did not reply.
-    Silent,
+    NoReply,
     /// A refusal without counts, as from a peer of an earlier release. Without them the peer cannot
     /// be asked again.
-    Unexplained,
+    WithoutCounts,
 }
 
 /// A slot that a traffic thread asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SlotWish {
+pub(crate) struct ReservationRequest {
     /// The server.
     pub(crate) server: ServerId,
     /// The fraction of the load bound that the request's class may use.
@@ -143,29 +143,29 @@
     /// The id.
     pub(crate) reservation: ReservationId,
     /// Who decides on the slot.
-    pub(crate) place: Place,
+    pub(crate) route: SlotRoute,
     /// This router's requests in flight on the server's pool, which the steward needs.
     pub(crate) in_flight: u16,
     /// The pool's load, sent to a steward that is asked again.
-    pub(crate) told: Option<ToldLoad>,
+    pub(crate) known_load: Option<ToldLoad>,
 }
 
 /// Who decides on a slot.
 #[derive(Debug)]
-pub(crate) enum Place {
+pub(crate) enum SlotRoute {
     /// This router, as the server's steward; with its decision.
-    Here(Grant),
+    Local(Grant),
     /// The peer that is the server's steward, at this address.
     Peer(SocketAddr),
     /// Nobody: no steward is known, or asking it is not expected to help.
-    Nowhere,
+    Unavailable,
 }
 
 /// Who keeps a customer's budget.
 #[derive(Debug)]
-pub(crate) enum BudgetPlace {
+pub(crate) enum BudgetRoute {
     /// This router, as the customer's steward; with its answer.
-    Here(BudgetReply),
+    Local(BudgetReply),
     /// A peer, which has to be asked.
     Peer {
         /// The steward.
@@ -207,21 +207,24 @@
     }
 
     /// Starts a reservation; none if the control thread has ended.
-    pub(crate) async fn begin(&self, request: SlotWish) -> Option<BegunReservation> {
+    pub(crate) async fn begin_reservation(
+        &self,
+        request: ReservationRequest,
+    ) -> Option<BegunReservation> {
         let (reply, receiver) = oneshot::channel();
         self.send(Command::BeginReservation { request, reply });
         receiver.await.ok()
     }
 
     /// Asks for budget of a customer; none if the control thread has ended.
-    pub(crate) async fn lease_budget(&self, ask: BudgetAsk) -> Option<BudgetPlace> {
+    pub(crate) async fn lease_budget(&self, ask: BudgetAsk) -> Option<BudgetRoute> {
         let (reply, receiver) = oneshot::channel();
         self.send(Command::LeaseBudget { ask, reply });
         receiver.await.ok()
     }
 
     /// Handles a request from a peer; rejects it if the control thread has ended.
-    pub(crate) async fn peer(&self, request: PeerRequest) -> PeerReply {
+    pub(crate) async fn handle_peer_request(&self, request: PeerRequest) -> PeerReply {
         let (reply, receiver) = oneshot::channel();
         self.send(Command::PeerRequest { request, reply });
         receiver.await.unwrap_or(PeerReply::Rejected)
--- a/crates/sapphiretrackd/src/control/mod.rs
+++ b/crates/sapphiretrackd/src/control/mod.rs
@@ -24,10 +24,10 @@
 mod views;
 
 pub(crate) use handle::{
-    BudgetPlace, Command, CommandReceiver, ControlHandle, Place, SlotRefusal, SlotWish,
-    control_channel,
+    BudgetRoute, Command, CommandReceiver, ControlHandle, ReservationRequest, SlotRefusal,
+    SlotRoute, control_channel,
 };
 pub(crate) use orders::EngineReconciler;
 pub(crate) use snapshot::Snapshot;
 pub(crate) use state::{ControlState, Identity, Timing};
-pub(crate) use thread::{ControlParts, run_control};
+pub(crate) use thread::{ControlLoop, run_control};
--- a/crates/sapphiretrackd/src/control/orders.rs
+++ b/crates/sapphiretrackd/src/control/orders.rs
@@ -114,7 +114,7 @@
                 let now_ms = self.clock.now_ms();
                 self.acquired = Some((row.fencing, now_ms));
                 self.weights = WeightBudget::new(WEIGHT_FETCH_EVERY_MS, WEIGHT_FETCH_BURST, now_ms);
-                Event::LEASE_TAKEN.log(&[("fencing", &row.fencing.to_string())]);
+                Event::ORDER_LEASE_ACQUIRED.log(&[("fencing", &row.fencing.to_string())]);
             }
         }
         Ok(())
@@ -201,13 +201,13 @@
         let fencing = order.fencing.to_string();
         match self.engines.order(address, order).await {
             Ok(OrderTaken::Taken) => {
-                Event::ORDER_TAKEN.log(&[("server", name), ("fencing", &fencing)]);
+                Event::ORDER_ACCEPTED.log(&[("server", name), ("fencing", &fencing)]);
             }
             Ok(OrderTaken::Refused) => {
                 Event::ORDER_REFUSED.log(&[("server", name), ("fencing", &fencing)]);
             }
             // The engine's state in the next round shows whether it took the order.
-            Err(error) => Event::ORDER_LOST.log(&[
+            Err(error) => Event::ORDER_UNANSWERED.log(&[
                 ("server", name),
                 ("fencing", &fencing),
                 ("reason", &error.to_string()),
--- a/crates/sapphiretrackd/src/control/slots.rs
+++ b/crates/sapphiretrackd/src/control/slots.rs
@@ -10,7 +10,7 @@
 use sapphiretrack_peer::{PeerReply, PeerRequest};
 
 use crate::control::ControlState;
-use crate::control::handle::{BegunReservation, Place, SlotRefusal, SlotWish};
+use crate::control::handle::{BegunReservation, ReservationRequest, SlotRefusal, SlotRoute};
 
 /// A slot that this router holds or has asked for.
 pub(super) struct HeldSlot {
@@ -38,17 +38,21 @@
 impl ControlState {
     /// Starts a reservation on a server: decides on it if this router is the steward, otherwise
     /// returns the steward to ask.
-    pub(crate) fn begin_reservation(&mut self, request: SlotWish, now_ms: u64) -> BegunReservation {
-        let SlotWish { server, .. } = request;
+    pub(crate) fn begin_reservation(
+        &mut self,
+        request: ReservationRequest,
+        now_ms: u64,
+    ) -> BegunReservation {
+        let ReservationRequest { server, .. } = request;
         let in_flight = self.own_pool_in_flight(server);
         let reservation = ReservationId(self.next_reservation);
         self.next_reservation = self.next_reservation.wrapping_add(1);
         let router = self.identity.id;
-        let told = self.load_for_retry(&request, now_ms);
-        let retry_is_futile = request.refusal.is_some() && told.is_none();
+        let known_load = self.load_for_retry(&request, now_ms);
+        let retry_is_futile = request.refusal.is_some() && known_load.is_none();
         let may_ask = |steward: &RouterId| self.ask_memory.may_ask(*steward, server, now_ms);
-        let place = match self.steward(server) {
-            _ if retry_is_futile => Place::Nowhere,
+        let route = match self.steward(server) {
+            _ if retry_is_futile => SlotRoute::Unavailable,
             Some(steward) if steward == router => {
                 let reserve_request = ReserveRequest {
                     router,
@@ -57,18 +61,18 @@
                     bound_share: request.bound_share as f32,
                     in_flight,
                 };
-                Place::Here(self.reserve(&reserve_request, told, now_ms))
+                SlotRoute::Local(self.reserve(&reserve_request, known_load, now_ms))
             }
             Some(steward) => match self.peers.get(steward).filter(|_| may_ask(&steward)) {
-                Some(peer) => Place::Peer(peer.profile.peer_address),
-                None => Place::Nowhere,
+                Some(peer) => SlotRoute::Peer(peer.profile.peer_address),
+                None => SlotRoute::Unavailable,
             },
-            None => Place::Nowhere,
+            None => SlotRoute::Unavailable,
         };
-        let steward_address = match place {
-            Place::Here(Grant::Granted) => Some(None),
-            Place::Peer(address) => Some(Some(address)),
-            Place::Here(_) | Place::Nowhere => None,
+        let steward_address = match route {
+            SlotRoute::Local(Grant::Granted) => Some(None),
+            SlotRoute::Peer(address) => Some(Some(address)),
+            SlotRoute::Local(_) | SlotRoute::Unavailable => None,
         };
         if let Some(steward_address) = steward_address {
             let held = HeldSlot {
@@ -83,15 +87,15 @@
         }
         BegunReservation {
             reservation,
-            place,
+            route,
             in_flight,
-            told,
+            known_load,
         }
     }
 
     /// The load to send to a steward that refused before, so that it can decide again; none if that
     /// is not expected to help.
-    fn load_for_retry(&self, request: &SlotWish, now_ms: u64) -> Option<ToldLoad> {
+    fn load_for_retry(&self, request: &ReservationRequest, now_ms: u64) -> Option<ToldLoad> {
         let refusal = request.refusal?;
         let pool = self.pool_of(request.server)?;
         let load = self.pool_load(&pool, now_ms);
@@ -127,8 +131,8 @@
                 self.record_pool_load(steward, server, full.in_flight, now_ms)
             }
             SlotRefusal::NotSteward => self.ask_memory.note_not_steward(steward, server, now_ms),
-            SlotRefusal::Unexplained => {}
-            SlotRefusal::Silent => self.ask_memory.note_silent(steward, now_ms),
+            SlotRefusal::WithoutCounts => {}
+            SlotRefusal::NoReply => self.ask_memory.note_silent(steward, now_ms),
         }
     }
 
--- a/crates/sapphiretrackd/src/control/state.rs
+++ b/crates/sapphiretrackd/src/control/state.rs
@@ -210,7 +210,7 @@
                 self.keys = Arc::new(KeyIndex::new(&self.config));
                 Event::CONFIG_IN_FORCE.log(&[("version", &version)]);
             }
-            Refreshed::Kept if older => Event::CONFIG_OLDER.log(&[("version", &version)]),
+            Refreshed::Kept if older => Event::OLDER_CONFIG_DROPPED.log(&[("version", &version)]),
             Refreshed::Kept => {}
         }
         refreshed
@@ -300,7 +300,7 @@
         let Some(gap_ms) = self.pause_watch.turn(now_ms) else {
             return;
         };
-        Event::PAUSED.log(&[("gap_ms", &gap_ms.to_string())]);
+        Event::CONTROL_THREAD_PAUSED.log(&[("gap_ms", &gap_ms.to_string())]);
         self.peers.forgive_silence(now_ms);
         self.budgets
             .reset_after_pause(gap_ms, self.timing.dead_after_ms, now_ms);
@@ -435,7 +435,7 @@
             let event = if isolated {
                 Event::ISOLATED
             } else {
-                Event::REJOINED
+                Event::ISOLATION_ENDED
             };
             event.log(&[("router", &self.identity.profile.name)]);
             self.isolated = isolated;
--- a/crates/sapphiretrackd/src/control/thread.rs
+++ b/crates/sapphiretrackd/src/control/thread.rs
@@ -31,7 +31,7 @@
 const REPORT_PERIOD: Duration = Duration::from_millis(250);
 
 /// The state, clients and settings of the control thread.
-pub(crate) struct ControlParts {
+pub(crate) struct ControlLoop {
     pub(crate) clock: Clock,
     pub(crate) state: ControlState,
     pub(crate) platform: PlatformClient,
@@ -43,23 +43,23 @@
     /// Whether a peer's configuration is being fetched.
     pub(crate) fetching_config: Arc<AtomicBool>,
     /// Requests an early read of the list of VMs.
-    pub(crate) read_list: Arc<Notify>,
+    pub(crate) vm_list_refresh: Arc<Notify>,
 }
 
 /// Returns the control loop as a future, to be run on the control thread.
 pub(crate) fn run_control(
-    control: ControlParts,
+    control: ControlLoop,
     handle: ControlHandle,
     commands: CommandReceiver,
 ) -> BoxFuture<'static, ()> {
     Box::pin(run(control, handle, commands))
 }
 
-async fn run(mut control: ControlParts, handle: ControlHandle, mut commands: CommandReceiver) {
+async fn run(mut control: ControlLoop, handle: ControlHandle, mut commands: CommandReceiver) {
     tokio::spawn(polling::poll_vm_list(
         control.platform.clone(),
         handle.clone(),
-        control.read_list.clone(),
+        control.vm_list_refresh.clone(),
     ));
     tokio::spawn(polling::poll_configuration(
         ConfigurationStore::new(control.platform.clone()),
@@ -103,7 +103,7 @@
     interval
 }
 
-impl ControlParts {
+impl ControlLoop {
     fn run_command(&mut self, command: Command, handle: &ControlHandle) {
         let now_ms = self.clock.now_ms();
         match command {
@@ -121,12 +121,12 @@
                     self.end_reservation(reservation);
                 }
             }
-            Command::Granted { reservation } => self.state.mark_granted(reservation),
-            Command::Refused {
+            Command::SlotGranted { reservation } => self.state.mark_granted(reservation),
+            Command::SlotRefused {
                 reservation,
                 refusal,
             } => self.state.record_slot_refusal(reservation, refusal, now_ms),
-            Command::End { reservation } => self.end_reservation(reservation),
+            Command::EndReservation { reservation } => self.end_reservation(reservation),
             Command::VmList(list) => self.state.apply_vm_list(list, now_ms),
             Command::PlatformCall { reached } => self.state.record_platform_call(reached, now_ms),
             Command::OfferConfig(config) => {
@@ -162,7 +162,9 @@
                 self.state.handle_peer_refusal(router, incarnation, now_ms);
                 self.state.tick(now_ms);
             }
-            Command::AddressRefused { address } => self.state.handle_address_refusal(address),
+            Command::StewardConnectionRefused { address } => {
+                self.state.handle_address_refusal(address)
+            }
             Command::ServerLeaving {
                 server,
                 incarnation,
@@ -232,10 +234,10 @@
         self.state.detect_pause(now_ms);
         self.state.tick(now_ms);
         if self.state.vm_lists_differ() {
-            self.read_list.notify_one();
+            self.vm_list_refresh.notify_one();
         }
         self.metrics
-            .control_bytes_total("peer_requests", self.peers.sent_bytes());
+            .set_control_bytes("peer_requests", self.peers.sent_bytes());
     }
 
     /// Publishes a snapshot, after everything that follows from the changes is updated.
--- a/crates/sapphiretrackd/src/dispatch/slots.rs
+++ b/crates/sapphiretrackd/src/dispatch/slots.rs
@@ -9,7 +9,9 @@
 };
 use sapphiretrack_peer::{PeerError, SlotReply};
 
-use crate::control::{Command, ControlHandle, Place, SlotRefusal, SlotWish, Snapshot};
+use crate::control::{
+    Command, ControlHandle, ReservationRequest, SlotRefusal, SlotRoute, Snapshot,
+};
 use crate::dispatch::Dispatcher;
 
 /// The most servers asked for a slot in one round; servers that seem full are ranked last.
@@ -60,7 +62,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.control.send(Command::End {
+        self.control.send(Command::EndReservation {
             reservation: self.id,
         });
     }
@@ -138,7 +140,7 @@
             let Some(server) = pool.server(candidate.server) else {
                 continue;
             };
-            let wish = SlotWish {
+            let wish = ReservationRequest {
                 server: candidate.server,
                 bound_share: wanted.bound_share,
                 uncached_tokens: candidate.uncached_tokens,
@@ -150,8 +152,8 @@
                     failed.full.push((*candidate, Some(counts)));
                     continue;
                 }
-                Err(SlotRefusal::Unexplained) => continue,
-                Err(SlotRefusal::NotSteward | SlotRefusal::Silent) => {
+                Err(SlotRefusal::WithoutCounts) => continue,
+                Err(SlotRefusal::NotSteward | SlotRefusal::NoReply) => {
                     failed.lacks_steward = true;
                     continue;
                 }
@@ -173,22 +175,24 @@
     /// Reserves a slot on one server.
     async fn reserve_on_server(
         &self,
-        wish: SlotWish,
+        wish: ReservationRequest,
         snapshot: &Snapshot,
     ) -> Result<Reservation, SlotRefusal> {
         // There is no reply only if the control thread has ended.
-        let begun = self.control.begin(wish).await;
-        let begun = begun.ok_or(SlotRefusal::Unexplained)?;
+        let begun = self.control.begin_reservation(wish).await;
+        let begun = begun.ok_or(SlotRefusal::WithoutCounts)?;
         let reservation = Reservation {
             control: self.control.clone(),
             id: begun.reservation,
         };
-        match begun.place {
-            Place::Here(Grant::Granted) => Ok(reservation),
+        match begun.route {
+            SlotRoute::Local(Grant::Granted) => Ok(reservation),
             // This router counts these slots itself, so a second request needs no counts.
-            Place::Here(Grant::Full) => Err(SlotRefusal::Full(FullServer::default())),
-            Place::Here(Grant::NotSteward) | Place::Nowhere => Err(SlotRefusal::NotSteward),
-            Place::Peer(address) => {
+            SlotRoute::Local(Grant::Full) => Err(SlotRefusal::Full(FullServer::default())),
+            SlotRoute::Local(Grant::NotSteward) | SlotRoute::Unavailable => {
+                Err(SlotRefusal::NotSteward)
+            }
+            SlotRoute::Peer(address) => {
                 let request = ReserveRequest {
                     router: snapshot.me,
                     reservation: begun.reservation,
@@ -196,7 +200,9 @@
                     bound_share: wish.bound_share as f32,
                     in_flight: begun.in_flight,
                 };
-                let granted = self.reserve_at_steward(address, request, begun.told).await;
+                let granted = self
+                    .reserve_at_steward(address, request, begun.known_load)
+                    .await;
                 granted.map(|()| reservation)
             }
         }
@@ -212,21 +218,22 @@
         let reservation = request.reservation;
         let reply = self.peers.reserve(address, request, pool_load).await;
         if reply.as_ref().is_err_and(PeerError::is_refused) {
-            self.control.send(Command::AddressRefused { address });
+            self.control
+                .send(Command::StewardConnectionRefused { address });
         }
         let refusal = match reply {
             Ok(SlotReply::Decided(Grant::Granted)) => {
-                self.control.send(Command::Granted { reservation });
+                self.control.send(Command::SlotGranted { reservation });
                 return Ok(());
             }
             Ok(SlotReply::Full(full)) => SlotRefusal::Full(full),
             Ok(SlotReply::Decided(Grant::NotSteward)) => SlotRefusal::NotSteward,
             Ok(SlotReply::Decided(Grant::Full)) | Err(PeerError::Rejected) => {
-                SlotRefusal::Unexplained
+                SlotRefusal::WithoutCounts
             }
-            Err(_) => SlotRefusal::Silent,
+            Err(_) => SlotRefusal::NoReply,
         };
-        let refused = Command::Refused {
+        let refused = Command::SlotRefused {
             reservation,
             refusal,
         };
--- a/crates/sapphiretrackd/src/events.rs
+++ b/crates/sapphiretrackd/src/events.rs
@@ -36,7 +36,8 @@
     /// A newer configuration came into force.
     pub const CONFIG_IN_FORCE: Self = Self::new(200, Level::Info, "configuration in force");
     /// A configuration older than the one in force was received and dropped.
-    pub const CONFIG_OLDER: Self = Self::new(201, Level::Warn, "older configuration dropped");
+    pub const OLDER_CONFIG_DROPPED: Self =
+        Self::new(201, Level::Warn, "older configuration dropped");
     /// The platform cannot be reached.
     pub const PLATFORM_LOST: Self = Self::new(210, Level::Warn, "platform unreachable");
     /// The platform can be reached again.
@@ -44,7 +45,7 @@
     /// Neither the platform nor a peer was reached for too long.
     pub const ISOLATED: Self = Self::new(212, Level::Error, "isolated, new work is refused");
     /// The isolation ended.
-    pub const REJOINED: Self = Self::new(213, Level::Info, "isolation ended");
+    pub const ISOLATION_ENDED: Self = Self::new(213, Level::Info, "isolation ended");
     /// A peer was seen for the first time.
     pub const PEER_JOINED: Self = Self::new(300, Level::Info, "peer joined");
     /// A peer is leaving.
@@ -66,15 +67,16 @@
     /// A write of the answer of a non-idempotent request failed.
     pub const RECORD_FAILED: Self = Self::new(502, Level::Warn, "failed to record an answer");
     /// The control thread was paused; nothing is granted based on its state before the pause.
-    pub const PAUSED: Self = Self::new(220, Level::Warn, "control thread was paused");
+    pub const CONTROL_THREAD_PAUSED: Self =
+        Self::new(220, Level::Warn, "control thread was paused");
     /// This router acquired the lease for orders to engines.
-    pub const LEASE_TAKEN: Self = Self::new(410, Level::Info, "order lease acquired");
+    pub const ORDER_LEASE_ACQUIRED: Self = Self::new(410, Level::Info, "order lease acquired");
     /// An engine accepted an order.
-    pub const ORDER_TAKEN: Self = Self::new(411, Level::Info, "order accepted");
+    pub const ORDER_ACCEPTED: Self = Self::new(411, Level::Info, "order accepted");
     /// An engine refused an order: the fencing number is outdated, or the engine restarted.
     pub const ORDER_REFUSED: Self = Self::new(412, Level::Warn, "order refused");
     /// There was no reply to an order; the engine's state shows whether it took effect.
-    pub const ORDER_LOST: Self = Self::new(413, Level::Warn, "no reply to an order");
+    pub const ORDER_UNANSWERED: Self = Self::new(413, Level::Warn, "no reply to an order");
 
     /// The platform had lost newer configurations; this router wrote its own back.
     pub const CONFIG_REPUBLISHED: Self = Self::new(
@@ -108,11 +110,11 @@
         Self::STOP_LIMIT_REACHED,
         Self::SIGNAL_IGNORED,
         Self::CONFIG_IN_FORCE,
-        Self::CONFIG_OLDER,
+        Self::OLDER_CONFIG_DROPPED,
         Self::PLATFORM_LOST,
         Self::PLATFORM_RESTORED,
         Self::ISOLATED,
-        Self::REJOINED,
+        Self::ISOLATION_ENDED,
         Self::PEER_JOINED,
         Self::PEER_LEAVING,
         Self::PEER_LOST,
@@ -126,11 +128,11 @@
         Self::CONFIG_REPUBLISHED,
         Self::SERVER_EJECTED,
         Self::CLAIMS_SWEPT,
-        Self::PAUSED,
-        Self::LEASE_TAKEN,
-        Self::ORDER_TAKEN,
+        Self::CONTROL_THREAD_PAUSED,
+        Self::ORDER_LEASE_ACQUIRED,
+        Self::ORDER_ACCEPTED,
         Self::ORDER_REFUSED,
-        Self::ORDER_LOST,
+        Self::ORDER_UNANSWERED,
         Self::MEMORY_HANDED_OVER,
         Self::MEMORY_MERGED,
         Self::MEMORY_MISSING,
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -13,7 +13,7 @@
 use tokio::time::MissedTickBehavior;
 
 use crate::clock::{Clock, wall_clock_ms};
-use crate::control::{BudgetPlace, Command, ControlHandle};
+use crate::control::{BudgetRoute, Command, ControlHandle};
 
 /// Interval at which leases are renewed and unused chunks are returned.
 const RENEW_PERIOD: Duration = Duration::from_millis(250);
@@ -272,15 +272,16 @@
     /// Asks the steward for budget. Returns `None` if it does not answer or is not the steward.
     async fn lease_from_steward(&self, ask: BudgetAsk) -> Option<(RouterId, BudgetGrant)> {
         let (steward, reply) = match self.control.lease_budget(ask).await? {
-            BudgetPlace::Here(reply) => (self.router, reply),
-            BudgetPlace::Peer {
+            BudgetRoute::Local(reply) => (self.router, reply),
+            BudgetRoute::Peer {
                 steward,
                 address,
                 ask,
             } => {
                 let reply = self.peers.lease_budget(address, ask).await;
                 if reply.as_ref().is_err_and(PeerError::is_refused) {
-                    self.control.send(Command::AddressRefused { address });
+                    self.control
+                        .send(Command::StewardConnectionRefused { address });
                 }
                 (steward, reply.ok()?)
             }
--- a/crates/sapphiretrackd/src/metrics.rs
+++ b/crates/sapphiretrackd/src/metrics.rs
@@ -182,7 +182,7 @@
     }
 
     /// Raises a control byte counter to a total that is counted elsewhere.
-    pub(crate) fn control_bytes_total(&self, kind: &'static str, total: u64) {
+    pub(crate) fn set_control_bytes(&self, kind: &'static str, total: u64) {
         let counter = self.control_bytes.get_or_create(&KindLabels { kind });
         counter.inc_by(total.saturating_sub(counter.get()));
     }
--- a/crates/sapphiretrackd/src/parts.rs
+++ b/crates/sapphiretrackd/src/parts.rs
@@ -22,7 +22,7 @@
 
 use crate::clock::Clock;
 use crate::control::{
-    CommandReceiver, ControlHandle, ControlParts, ControlState, Identity, Snapshot, Timing,
+    CommandReceiver, ControlHandle, ControlLoop, ControlState, Identity, Snapshot, Timing,
     control_channel, run_control,
 };
 use crate::dispatch::{Dispatcher, Health};
@@ -100,7 +100,7 @@
                             let chats = memory.merge(&list, 0) as u32;
                             PeerReply::TakenOver { chats }
                         }
-                        request => control.peer(request).await,
+                        request => control.handle_peer_request(request).await,
                     }
                 })
             }),
@@ -272,7 +272,7 @@
             isolated_after_ms: settings.isolated_after_ms,
             report_stale_after_ms: REPORT_STALE_AFTER_MS,
         };
-        let parts = ControlParts {
+        let parts = ControlLoop {
             clock: self.clock,
             state: ControlState::new(
                 identity,
@@ -286,7 +286,7 @@
             metrics: self.metrics,
             heartbeat_ms: settings.heartbeat_ms,
             fetching_config: Arc::default(),
-            read_list: Arc::new(Notify::new()),
+            vm_list_refresh: Arc::new(Notify::new()),
         };
         run_control(parts, self.control, self.commands)
     }
