--- a/crates/sapphiretrack-backend/src/answer.rs
+++ b/crates/sapphiretrack-backend/src/answer.rs
@@ -1,4 +1,4 @@
-//! An engine's answer as a stream of checked pieces.
+//! Reads an engine's streamed answer and checks that it is complete and belongs to the attempt.
 
 use std::pin::Pin;
 
@@ -9,33 +9,34 @@
 use hyper::body::Incoming;
 use sapphiretrack_core::{Chunk, STREAM_END, Usage};
 
-use crate::error::{BackendError, BrokenSnafu, CrossedSnafu};
+use crate::error::{AnswerFailedSnafu, BackendError, WrongAttemptSnafu};
 
-type Bodies = Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>> + Send>>;
+type ByteStream = Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>> + Send>>;
 
-/// The longest line of a stream; the rest of a longer one is not read into memory.
+/// Maximum length of a line of the stream, in bytes. A longer line ends the stream with an error
+/// and is not read into memory any further.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// One step of an answer.
+/// One part of a streamed answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Piece {
-    /// The next token's text.
+    /// The text of the next token.
     Token(String),
-    /// Why the answer ends, and its token counts.
+    /// The answer's finish reason and token counts.
     Finish {
-        /// The engine's reason.
+        /// The finish reason that the engine gives.
         reason: String,
-        /// The counts.
+        /// Token counts; zero if the engine sent none.
         usage: Usage,
     },
-    /// The explicit end: nothing is missing.
+    /// The end marker of the stream: the answer is complete.
     End,
 }
 
-/// Reads an engine's events and checks that each belongs to the attempt.
+/// Parses an engine's server-sent events and checks that each carries the attempt's id.
 pub struct AnswerStream {
     attempt: String,
-    events: EventStream<Bodies>,
+    events: EventStream<ByteStream>,
     finish: Option<Piece>,
     finished: bool,
 }
@@ -45,28 +46,28 @@
         Self::from_bytes(attempt, BodyDataStream::new(body))
     }
 
-    /// Reads the bytes of a stream that answers the attempt of this id.
-    pub fn from_bytes<Bodies, Error>(attempt: String, bodies: Bodies) -> Self
+    /// Creates a stream from the body bytes of the answer to the attempt with this id.
+    pub fn from_bytes<ByteStream, Error>(attempt: String, stream: ByteStream) -> Self
     where
-        Bodies: Stream<Item = Result<Bytes, Error>> + Send + 'static,
+        ByteStream: Stream<Item = Result<Bytes, Error>> + Send + 'static,
         Error: std::fmt::Display,
     {
         let mut line_bytes = 0;
-        let limited = bodies.map(move |part| {
+        let limited = stream.map(move |part| {
             let part = part.map_err(|error| std::io::Error::other(error.to_string()))?;
-            line_bytes = longest_line(line_bytes, &part)?;
+            line_bytes = unfinished_line_bytes(line_bytes, &part)?;
             Ok(part)
         });
-        let bodies: self::Bodies = Box::pin(limited);
+        let stream: self::ByteStream = Box::pin(limited);
         Self {
             attempt,
-            events: bodies.eventsource(),
+            events: stream.eventsource(),
             finish: None,
             finished: false,
         }
     }
 
-    /// The next piece; a stream that stops before [`Piece::End`] is broken.
+    /// Returns the next piece. A stream that stops before [`Piece::End`] is an error.
     pub async fn next(&mut self) -> Result<Piece, BackendError> {
         if let Some(finish) = self.finish.take() {
             self.finished = true;
@@ -76,35 +77,36 @@
             let event = match self.events.next().await {
                 Some(Ok(event)) => event,
                 Some(Err(error)) => {
-                    return BrokenSnafu {
+                    return AnswerFailedSnafu {
                         reason: error.to_string(),
                     }
                     .fail();
                 }
                 None => {
-                    return BrokenSnafu {
+                    return AnswerFailedSnafu {
                         reason: "cut before its end",
                     }
                     .fail();
                 }
             };
-            if let Some(piece) = self.read(&event)? {
+            if let Some(piece) = self.parse_event(&event)? {
                 return Ok(piece);
             }
         }
     }
 
-    fn read(&mut self, event: &Event) -> Result<Option<Piece>, BackendError> {
+    fn parse_event(&mut self, event: &Event) -> Result<Option<Piece>, BackendError> {
         if event.data == STREAM_END {
-            // The end names no attempt: it counts only after this attempt's own last chunk.
+            // The end marker carries no attempt id, so it is valid only after the attempt's own
+            // last chunk.
             if !self.finished {
                 let reason = "ended without a last chunk of this attempt";
-                return BrokenSnafu { reason }.fail();
+                return AnswerFailedSnafu { reason }.fail();
             }
             return Ok(Some(Piece::End));
         }
         if event.event == "error" {
-            return BrokenSnafu {
+            return AnswerFailedSnafu {
                 reason: "the engine sent an error event",
             }
             .fail();
@@ -112,14 +114,14 @@
         let chunk: Chunk = match serde_json::from_str(&event.data) {
             Ok(chunk) => chunk,
             Err(error) => {
-                return BrokenSnafu {
+                return AnswerFailedSnafu {
                     reason: error.to_string(),
                 }
                 .fail();
             }
         };
         if chunk.id != self.attempt {
-            return CrossedSnafu {
+            return WrongAttemptSnafu {
                 expected: self.attempt.as_str(),
                 found: chunk.id,
             }
@@ -130,7 +132,7 @@
         };
         if self.finished {
             let reason = "went on after its last chunk";
-            return BrokenSnafu { reason }.fail();
+            return AnswerFailedSnafu { reason }.fail();
         }
         let token = choice.delta.content.map(Piece::Token);
         let Some(reason) = choice.finish_reason else {
@@ -141,7 +143,7 @@
             usage: chunk.usage.unwrap_or_default(),
         };
         if token.is_some() {
-            // The last chunk may carry the last token as well.
+            // The last chunk may also contain the last token, which is returned first.
             self.finish = Some(finish);
             return Ok(token);
         }
@@ -150,9 +152,11 @@
     }
 }
 
-/// The length of the line that `part` leaves open, given the bytes that were open before.
-fn longest_line(open_bytes: usize, part: &[u8]) -> Result<usize, std::io::Error> {
-    let mut bytes = open_bytes;
+/// Returns the length of the unfinished line after `part`, given its length before `part`.
+///
+/// Returns an error if a line exceeds [`MAX_LINE_BYTES`].
+fn unfinished_line_bytes(previous_bytes: usize, part: &[u8]) -> Result<usize, std::io::Error> {
+    let mut bytes = previous_bytes;
     for line in part.split_inclusive(|byte| *byte == b'\n') {
         bytes += line.len();
         if bytes > MAX_LINE_BYTES {
--- a/crates/sapphiretrack-backend/src/client.rs
+++ b/crates/sapphiretrack-backend/src/client.rs
@@ -13,21 +13,22 @@
 
 use crate::answer::AnswerStream;
 use crate::error::{
-    BackendError, BrokenSnafu, CrossedSnafu, LeavingSnafu, NotStartedSnafu, UnreachableSnafu,
+    AnswerFailedSnafu, BackendError, LeavingSnafu, NotStartedSnafu, UnreachableSnafu,
+    WrongAttemptSnafu,
 };
 use crate::wire::{
     ATTEMPT_HEADER, CHAT_HEADER, DEADLINE_HEADER, IMPORT_HEADER, LEAVING_HEADER,
     NOT_STARTED_HEADER, PRIORITY_HEADER, RESUME_HEADER,
 };
 
-/// How backend servers are reached.
+/// Timeouts and limits of calls to backend servers.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How long a connection may take to open.
+    /// Timeout for opening a connection, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long a load report may take.
+    /// Timeout for reading a load report, in milliseconds.
     pub report_timeout_ms: u64,
-    /// The largest answer of a plain service that is read.
+    /// Maximum size of a plain service's answer or of a load report, in bytes.
     pub max_answer_bytes: usize,
 }
 
@@ -46,38 +47,38 @@
 pub struct ChatAttempt {
     /// The attempt's id.
     pub id: AttemptId,
-    /// The caller's body; it must ask for a stream.
+    /// The caller's request body. It must request a streamed answer.
     pub body: Bytes,
-    /// The chat's key.
+    /// Key under which the engine caches the chat's prefix.
     pub chat: ChatKey,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// The time that is left.
+    /// Time left for the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// How many tokens the caller has already.
+    /// Number of tokens already sent to the caller. The engine continues after them.
     pub resume_tokens: u32,
-    /// The engine to import the chat's cached prefix from, where that beats computing it.
+    /// Engine from which to import the chat's cached prefix, if that is faster than computing it.
     pub import_from: Option<SocketAddr>,
 }
 
-/// One attempt to run a call on a plain service.
+/// One attempt to run a request on a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceAttempt<'a> {
     /// The attempt's id.
     pub id: AttemptId,
     /// The HTTP method.
     pub method: http::Method,
-    /// The path on the service, with its query.
+    /// The path on the service, including the query.
     pub path: &'a str,
     /// The caller's content type.
     pub content_type: Option<&'a str>,
-    /// The caller's body.
+    /// The caller's request body.
     pub body: Bytes,
-    /// The time that is left.
+    /// Time left for the answer, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// A plain service's whole answer.
+/// A plain service's complete answer.
 #[derive(Clone, Debug)]
 pub struct ServiceReply {
     /// The HTTP status.
@@ -88,7 +89,7 @@
     pub body: Bytes,
 }
 
-/// Calls backend servers; clones share connections.
+/// Client of backend servers. Clones share connections.
 #[derive(Clone, Debug)]
 pub struct BackendClient {
     settings: Settings,
@@ -96,12 +97,12 @@
 }
 
 impl BackendClient {
-    /// A client; it connects when first used.
+    /// Creates a client. Connections are opened on first use.
     pub fn new(settings: Settings) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(Duration::from_millis(settings.connect_timeout_ms)));
         connector.set_nodelay(true);
-        // A request that the pool sends again on its own could run twice.
+        // An automatic retry by the connection pool could run a request twice.
         let http = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(Duration::from_secs(20))
@@ -110,7 +111,8 @@
         Self { settings, http }
     }
 
-    /// Starts a chat attempt; its answer streams. Dropping the stream cancels the attempt.
+    /// Starts a chat attempt and returns its streamed answer. Dropping the stream cancels the
+    /// attempt.
     pub async fn chat(
         &self,
         address: SocketAddr,
@@ -129,10 +131,10 @@
         }
         let body = Full::new(attempt.body.clone());
         let response = self.send(request.body(body)).await?;
-        let response = started(response, &id)?;
+        let response = check_started(response, &id)?;
         check_attempt(&response, &id)?;
         if !response.status().is_success() {
-            return BrokenSnafu {
+            return AnswerFailedSnafu {
                 reason: format!("status {}", response.status()),
             }
             .fail();
@@ -140,7 +142,7 @@
         Ok(AnswerStream::new(id, response.into_body()))
     }
 
-    /// Runs a plain service call and reads its whole answer.
+    /// Runs a request on a plain service and reads its complete answer.
     pub async fn service(
         &self,
         address: SocketAddr,
@@ -158,11 +160,11 @@
         let response = self
             .send(request.body(Full::new(attempt.body.clone())))
             .await?;
-        let response = started(response, &id)?;
+        let response = check_started(response, &id)?;
         check_attempt(&response, &id)?;
         let status = response.status().as_u16();
         let content_type = header(&response, http::header::CONTENT_TYPE.as_str());
-        let body = self.read_whole(response).await?;
+        let body = self.read_body(response).await?;
         Ok(ServiceReply {
             status,
             content_type,
@@ -177,9 +179,9 @@
             let request =
                 http::Request::get(format!("http://{address}/load")).body(Full::default());
             let response = self.send(request).await?;
-            let body = self.read_whole(response).await?;
+            let body = self.read_body(response).await?;
             serde_json::from_slice(&body).or_else(|error| {
-                BrokenSnafu {
+                AnswerFailedSnafu {
                     reason: error.to_string(),
                 }
                 .fail()
@@ -187,7 +189,7 @@
         };
         match tokio::time::timeout(timeout, report).await {
             Ok(result) => result,
-            Err(_) => BrokenSnafu {
+            Err(_) => AnswerFailedSnafu {
                 reason: "no load report in time",
             }
             .fail(),
@@ -210,20 +212,20 @@
                 reason: error.to_string(),
             }
             .fail(),
-            Err(error) => BrokenSnafu {
+            Err(error) => AnswerFailedSnafu {
                 reason: error.to_string(),
             }
             .fail(),
         }
     }
 
-    async fn read_whole(&self, response: http::Response<Incoming>) -> Result<Bytes, BackendError> {
+    async fn read_body(&self, response: http::Response<Incoming>) -> Result<Bytes, BackendError> {
         match Limited::new(response.into_body(), self.settings.max_answer_bytes)
             .collect()
             .await
         {
             Ok(body) => Ok(body.to_bytes()),
-            Err(error) => BrokenSnafu {
+            Err(error) => AnswerFailedSnafu {
                 reason: error.to_string(),
             }
             .fail(),
@@ -231,9 +233,11 @@
     }
 }
 
-/// Believes a server that it did not start the request only if it names this attempt: a crossed
-/// refusal speaks of another request.
-fn started(
+/// Returns an error if the server reports that it did not start the request.
+///
+/// The report counts only if it carries this attempt's id: a refusal that was delivered to the
+/// wrong attempt says nothing about this request.
+fn check_started(
     response: http::Response<Incoming>,
     id: &str,
 ) -> Result<http::Response<Incoming>, BackendError> {
@@ -253,7 +257,7 @@
 fn check_attempt(response: &http::Response<Incoming>, id: &str) -> Result<(), BackendError> {
     let found = header(response, ATTEMPT_HEADER);
     if found != id {
-        return CrossedSnafu {
+        return WrongAttemptSnafu {
             expected: id,
             found,
         }
--- a/crates/sapphiretrack-backend/src/lib.rs
+++ b/crates/sapphiretrack-backend/src/lib.rs
@@ -9,4 +9,4 @@
 pub use answer::{AnswerStream, Piece};
 pub use client::{BackendClient, ChatAttempt, ServiceAttempt, ServiceReply, Settings};
 pub use error::BackendError;
-pub use orders::{OrderClient, OrderTaken};
+pub use orders::{OrderClient, OrderReply};
--- a/crates/sapphiretrack-backend/src/orders.rs
+++ b/crates/sapphiretrack-backend/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and what engines say about themselves.
+//! Sends orders to engines and reads their state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,21 +10,22 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use sapphiretrack_core::{EngineOrder, EngineState, MAX_ORDER_DELAY_MS};
 
-use crate::error::{BackendError, BrokenSnafu, UnreachableSnafu};
+use crate::error::{AnswerFailedSnafu, BackendError, UnreachableSnafu};
 
-/// The largest reply that is read.
+/// Maximum size of a reply, in bytes.
 const MAX_REPLY_BYTES: usize = 64 << 10;
 
-/// What an engine made of an order.
+/// An engine's reply to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderTaken {
-    /// It works towards the goal.
-    Taken,
-    /// It refused: the fencing number is old, or the order is for an earlier run.
+pub enum OrderReply {
+    /// The engine works towards the desired state.
+    Accepted,
+    /// The engine refused: the fencing number is outdated, or the order is for an earlier run of
+    /// the engine.
     Refused,
 }
 
-/// Gives orders; clones share connections.
+/// Client for orders to engines. Clones share connections.
 #[derive(Clone, Debug)]
 pub struct OrderClient {
     http: Client<HttpConnector, Full<Bytes>>,
@@ -32,7 +33,8 @@
 
 impl Default for OrderClient {
     fn default() -> Self {
-        // An order that the pool sends again on its own could arrive after the lease.
+        // An automatic retry by the connection pool could deliver an order after the sender's
+        // lease has ended.
         let http = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
@@ -42,28 +44,30 @@
 }
 
 impl OrderClient {
-    /// Reads what an engine says that it is: `GET /state`.
+    /// Reads an engine's state: `GET /state`.
     pub async fn state(&self, address: SocketAddr) -> Result<EngineState, BackendError> {
         let request = http::Request::get(format!("http://{address}/state")).body(Full::default());
         let (_, body) = self.call(request).await?;
-        serde_json::from_slice(&body).or_else(|error| broken(&error))
+        serde_json::from_slice(&body).or_else(|error| answer_failed(&error))
     }
 
-    /// Gives an order: `POST /orders`. The call is given up before a successor may start.
+    /// Sends an order: `POST /orders`.
+    ///
+    /// The call times out before the next holder of the lease may send its first order.
     pub async fn order(
         &self,
         address: SocketAddr,
         order: &EngineOrder,
-    ) -> Result<OrderTaken, BackendError> {
-        let body = serde_json::to_vec(order).or_else(|error| broken(&error))?;
+    ) -> Result<OrderReply, BackendError> {
+        let body = serde_json::to_vec(order).or_else(|error| answer_failed(&error))?;
         let request = http::Request::post(format!("http://{address}/orders"))
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)));
         let (status, _) = self.call(request).await?;
         Ok(if status == http::StatusCode::CONFLICT {
-            OrderTaken::Refused
+            OrderReply::Refused
         } else {
-            OrderTaken::Taken
+            OrderReply::Accepted
         })
     }
 
@@ -71,7 +75,7 @@
         &self,
         request: Result<http::Request<Full<Bytes>>, http::Error>,
     ) -> Result<(http::StatusCode, Bytes), BackendError> {
-        let request = request.or_else(|error| broken(&error))?;
+        let request = request.or_else(|error| answer_failed(&error))?;
         let limit = Duration::from_millis(MAX_ORDER_DELAY_MS / 2);
         let called = tokio::time::timeout(limit, async {
             let response = self.http.request(request).await;
@@ -80,33 +84,33 @@
                 if error.is_connect() {
                     return UnreachableSnafu { reason }.fail();
                 }
-                BrokenSnafu { reason }.fail()
+                AnswerFailedSnafu { reason }.fail()
             })?;
             let status = response.status();
             if !status.is_success() && status != http::StatusCode::CONFLICT {
                 let reason = format!("status {status}");
-                return BrokenSnafu { reason }.fail();
+                return AnswerFailedSnafu { reason }.fail();
             }
             let body = Limited::new(response.into_body(), MAX_REPLY_BYTES).collect();
             match body.await {
                 Ok(body) => Ok((status, body.to_bytes())),
                 Err(error) => {
                     let reason = error.to_string();
-                    BrokenSnafu { reason }.fail()
+                    AnswerFailedSnafu { reason }.fail()
                 }
             }
         });
         called.await.unwrap_or_else(|_| {
             let reason = "no reply in time";
-            BrokenSnafu { reason }.fail()
+            AnswerFailedSnafu { reason }.fail()
         })
     }
 }
 
-fn broken<Value, Cause>(cause: &Cause) -> Result<Value, BackendError>
+fn answer_failed<Value, Cause>(cause: &Cause) -> Result<Value, BackendError>
 where
     Cause: std::fmt::Display,
 {
     let reason = cause.to_string();
-    BrokenSnafu { reason }.fail()
+    AnswerFailedSnafu { reason }.fail()
 }
--- a/crates/sapphiretrack-backend/tests/answer.rs
+++ b/crates/sapphiretrack-backend/tests/answer.rs
@@ -1,4 +1,4 @@
-//! The reader of engines' streams: whatever comes, no cut looks like an end.
+//! Parsing of engines' streamed answers: an incomplete answer is never taken for a complete one.
 
 use bytes::Bytes;
 use futures::executor::block_on;
@@ -18,7 +18,7 @@
     format!("data: {chunk}\n\n")
 }
 
-fn whole(tokens: &[String]) -> String {
+fn complete_answer(tokens: &[String]) -> String {
     let mut text: String = tokens
         .iter()
         .map(|token| chunk(ATTEMPT, Some(token), None))
@@ -28,7 +28,7 @@
     text
 }
 
-/// Reads bytes in parts of the given sizes, up to the end or the first error.
+/// Parses bytes split into parts of the given sizes, up to the end or the first error.
 fn read(bytes: &[u8], sizes: &[usize]) -> (Vec<Piece>, Option<BackendError>) {
     let mut parts = Vec::new();
     let mut rest = bytes;
@@ -66,63 +66,63 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(6), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_whole_stream_reads_the_same_however_it_is_split(
+    fn a_complete_stream_is_parsed_the_same_however_it_is_split(
         tokens in prop::collection::vec(".{0,8}", 0..8),
         sizes in prop::collection::vec(1..40_usize, 1..8),
     ) {
-        let (pieces, error) = read(whole(&tokens).as_bytes(), &sizes);
+        let (pieces, error) = read(complete_answer(&tokens).as_bytes(), &sizes);
         prop_assert!(error.is_none(), "{error:?}");
         prop_assert_eq!(pieces.last(), Some(&Piece::End));
         prop_assert_eq!(tokens_of(&pieces), tokens);
     }
 
     #[test]
-    fn a_stream_that_is_cut_anywhere_is_no_end_and_gives_a_prefix(
+    fn a_truncated_stream_gives_a_prefix_and_an_error(
         tokens in prop::collection::vec("[a-zé]{1,8}", 1..8), cut in 0.0..1.0_f64,
     ) {
-        let text = whole(&tokens);
+        let text = complete_answer(&tokens);
         let end = "data: [DONE]\n\n".len();
         let length = ((text.len() - end) as f64 * cut) as usize;
         let (pieces, error) = read(&text.as_bytes()[..length], &[7]);
-        let broken = matches!(error, Some(BackendError::Broken { .. }));
-        prop_assert!(broken, "{error:?}");
+        let failed = matches!(error, Some(BackendError::AnswerFailed { .. }));
+        prop_assert!(failed, "{error:?}");
         prop_assert!(!pieces.contains(&Piece::End));
         prop_assert!(tokens.starts_with(&tokens_of(&pieces)));
     }
 
     #[test]
-    fn a_piece_of_another_attempt_is_never_given_on(
+    fn a_piece_of_another_attempt_is_never_returned(
         tokens in prop::collection::vec("[a-z]{1,8}", 1..8), at in 0..8_usize,
     ) {
         let mut events: Vec<String> = tokens.iter().map(|token| chunk(ATTEMPT, Some(token), None)).collect();
         let at = at.min(events.len());
         events.insert(at, chunk("attempt-2", Some("FOREIGN"), None));
         let (pieces, error) = read(events.concat().as_bytes(), &[64]);
-        let crossed = matches!(error, Some(BackendError::Crossed { .. }));
-        prop_assert!(crossed, "{error:?}");
+        let is_wrong_attempt = matches!(error, Some(BackendError::WrongAttempt { .. }));
+        prop_assert!(is_wrong_attempt, "{error:?}");
         prop_assert_eq!(tokens_of(&pieces), &tokens[..at]);
     }
 
     #[test]
-    fn any_bytes_end_in_an_error(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_end_in_an_error(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let (_, error) = read(&bytes, &[50]);
         prop_assert!(error.is_some());
     }
 }
 
 #[test]
-fn an_end_without_a_last_chunk_is_a_break() {
+fn an_end_marker_without_a_last_chunk_is_an_error() {
     let text = chunk(ATTEMPT, Some("one"), None) + "data: [DONE]\n\n";
     let (pieces, error) = read(text.as_bytes(), &[1_000]);
     assert_eq!(pieces, [Piece::Token(String::from("one"))]);
     assert!(
-        matches!(error, Some(BackendError::Broken { .. })),
+        matches!(error, Some(BackendError::AnswerFailed { .. })),
         "{error:?}"
     );
 }
 
 #[test]
-fn a_last_chunk_may_carry_the_last_token() {
+fn a_last_chunk_may_contain_the_last_token() {
     let text = chunk(ATTEMPT, Some("one"), Some("stop")) + "data: [DONE]\n\n";
     let (pieces, error) = read(text.as_bytes(), &[1_000]);
     assert!(error.is_none(), "{error:?}");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_endless_line_is_given_up() {
+fn a_line_over_the_limit_is_an_error() {
     let text = format!("data: {}", "x".repeat(2 << 20));
     let (_, error) = read(text.as_bytes(), &[16 << 10]);
     let reason = error.expect("an error").to_string();
