--- a/crates/sapphiretrack-peer/src/client.rs
+++ b/crates/sapphiretrack-peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls peers over connections that are kept open.
+//! Client for calls to peers, with one open connection for each peer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,20 +18,20 @@
 use crate::error::{
     ConnectionLostSnafu, EncodeSnafu, NoReplySnafu, PeerError, RejectedSnafu, UnreachableSnafu,
 };
-use crate::server::CellRpcClient as Stub;
+use crate::server::PeerRpcClient;
 use crate::signing::SigningKey;
 use crate::wire::{
     ConfigUpdate, Heartbeat, HeartbeatReply, MAX_FRAME_BYTES, PeerReply, PeerRequest, VmListReply,
 };
 
-/// How peers are called.
+/// Timeouts of calls to peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a call may take.
+    /// Timeout of calls without a timeout of their own, in milliseconds.
     pub call_timeout_ms: u64,
-    /// How long fetching a whole configuration may take.
+    /// Timeout for fetching a configuration or a list of VMs, in milliseconds.
     pub fetch_timeout_ms: u64,
-    /// How long one part of a hand-over may take.
+    /// Timeout for one part of a hand-over, in milliseconds.
     pub hand_over_timeout_ms: u64,
 }
 
@@ -45,26 +45,26 @@
     }
 }
 
-/// A steward's answer to a question for a slot.
+/// A steward's reply to a slot request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotReply {
-    /// Its decision.
+    /// The steward's decision.
     Decided(Grant),
-    /// It has no room, and says why.
+    /// The server is full; contains the counts behind the refusal.
     Full(FullServer),
 }
 
-/// Calls peers; clones share connections.
+/// Client for calls to peers. Clones share connections.
 #[derive(Clone)]
 pub struct PeerClient {
     settings: Settings,
     key: SigningKey,
-    connections: Arc<Mutex<BTreeMap<SocketAddr, Stub>>>,
+    connections: Arc<Mutex<BTreeMap<SocketAddr, PeerRpcClient>>>,
     sent_bytes: Arc<AtomicU64>,
 }
 
 impl PeerClient {
-    /// A client; it connects when first used.
+    /// Creates a client. Connections are opened on first use.
     pub fn new(settings: Settings, key: SigningKey) -> Self {
         Self {
             settings,
@@ -74,12 +74,13 @@
         }
     }
 
-    /// Encoded bytes of the requests sent so far, without the transport's framing.
+    /// Returns the encoded size of all requests sent so far, in bytes, without the transport's
+    /// framing.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Tells a peer this router's state.
+    /// Sends this router's state to a peer.
     pub async fn heartbeat(
         &self,
         peer: SocketAddr,
@@ -88,7 +89,7 @@
         let request = PeerRequest::Heartbeat(Box::new(heartbeat));
         let mut reply = self.call(peer, &request).await;
         if matches!(reply, Err(PeerError::ConnectionLost { .. })) {
-            // A new connection tells at once whether the peer's process has ended.
+            // Reconnecting shows at once whether the peer's process has ended.
             reply = self.call(peer, &request).await;
         }
         match reply? {
@@ -97,16 +98,20 @@
         }
     }
 
-    /// Asks a steward for a slot; again with what the asker knows of the pool's load.
+    /// Requests a slot from its steward. `known_load` is set on a repeated request and contains
+    /// what the requester knows about the pool's load.
     pub async fn reserve(
         &self,
         peer: SocketAddr,
         request: ReserveRequest,
-        told: Option<ToldLoad>,
+        known_load: Option<ToldLoad>,
     ) -> Result<SlotReply, PeerError> {
-        let call = match told {
+        let call = match known_load {
             None => PeerRequest::Reserve(request),
-            Some(told) => PeerRequest::ReserveAgain { request, told },
+            Some(known_load) => PeerRequest::ReserveAgain {
+                request,
+                known_load,
+            },
         };
         match self.call(peer, &call).await? {
             PeerReply::Reserve(grant) => Ok(SlotReply::Decided(grant)),
@@ -115,12 +120,12 @@
         }
     }
 
-    /// Gives a slot back to its steward; the request is a [`PeerRequest::Release`].
+    /// Returns a slot to its steward. The request is a [`PeerRequest::Release`].
     pub async fn release(&self, peer: SocketAddr, request: &PeerRequest) -> Result<(), PeerError> {
         self.call(peer, request).await.map(drop)
     }
 
-    /// Asks a customer's steward for a part of its budget.
+    /// Requests a part of a customer's budget from the customer's steward.
     pub async fn lease_budget(
         &self,
         peer: SocketAddr,
@@ -132,7 +137,9 @@
         }
     }
 
-    /// Fetches what a peer's configuration has more than the version of this change.
+    /// Fetches a peer's changes to the configuration since `version`, or its whole configuration.
+    ///
+    /// `change_id` is the id of the change that created `version`.
     pub async fn fetch_config_since(
         &self,
         peer: SocketAddr,
@@ -144,7 +151,7 @@
             version,
             change_id: change_id.to_owned(),
         };
-        match self.call_within(peer, &request, timeout_ms).await? {
+        match self.call_with_timeout(peer, &request, timeout_ms).await? {
             PeerReply::Config(reply) => Ok(ConfigUpdate::Whole(reply.config_json)),
             PeerReply::ConfigChanges(changes_json) => Ok(ConfigUpdate::Changes(changes_json)),
             _ => RejectedSnafu.fail(),
@@ -155,7 +162,7 @@
     pub async fn fetch_vm_list(&self, peer: SocketAddr) -> Result<VmListReply, PeerError> {
         let timeout_ms = self.settings.fetch_timeout_ms;
         match self
-            .call_within(peer, &PeerRequest::FetchVmList, timeout_ms)
+            .call_with_timeout(peer, &PeerRequest::FetchVmList, timeout_ms)
             .await?
         {
             PeerReply::VmList(reply) => Ok(reply),
@@ -163,22 +170,23 @@
         }
     }
 
-    /// Hands over where chats are warm; tells how many of them were news to the peer.
+    /// Hands over on which servers chats are warm. Returns for how many of them the peer had no
+    /// information as recent.
     pub async fn hand_over(&self, peer: SocketAddr, list: WarmList) -> Result<u32, PeerError> {
         let timeout_ms = self.settings.hand_over_timeout_ms;
         let request = PeerRequest::HandOver(list);
-        match self.call_within(peer, &request, timeout_ms).await? {
-            PeerReply::TakenOver { chats } => Ok(chats),
+        match self.call_with_timeout(peer, &request, timeout_ms).await? {
+            PeerReply::HandedOver { chats } => Ok(chats),
             _ => RejectedSnafu.fail(),
         }
     }
 
     async fn call(&self, peer: SocketAddr, request: &PeerRequest) -> Result<PeerReply, PeerError> {
-        self.call_within(peer, request, self.settings.call_timeout_ms)
+        self.call_with_timeout(peer, request, self.settings.call_timeout_ms)
             .await
     }
 
-    async fn call_within(
+    async fn call_with_timeout(
         &self,
         peer: SocketAddr,
         request: &PeerRequest,
@@ -188,11 +196,11 @@
         self.sent_bytes
             .fetch_add(signed.body.len() as u64, Ordering::Relaxed);
         let timeout = Duration::from_millis(timeout_ms);
-        let called = tokio::time::timeout(timeout, async {
-            let stub = self.connection(peer).await?;
+        let call_result = tokio::time::timeout(timeout, async {
+            let rpc = self.connection(peer).await?;
             let mut context = context::current();
             context.deadline = Instant::now() + timeout;
-            match stub.call(context, signed.clone()).await {
+            match rpc.call(context, signed.clone()).await {
                 Ok(reply) => Ok(reply),
                 Err(RpcError::DeadlineExceeded) => no_reply(timeout_ms),
                 Err(error) => ConnectionLostSnafu {
@@ -201,38 +209,38 @@
                 .fail(),
             }
         });
-        let result = match called.await {
+        let result = match call_result.await {
             Ok(result) => result,
             Err(_) => no_reply(timeout_ms),
         };
         if result.is_err() {
-            self.forget(peer);
+            self.drop_connection(peer);
         }
-        match self.key.open_reply(&signed, &result?) {
+        match self.key.verify_reply(&signed, &result?) {
             None | Some(PeerReply::Rejected | PeerReply::Unsupported) => RejectedSnafu.fail(),
             Some(reply) => Ok(reply),
         }
     }
 
-    async fn connection(&self, peer: SocketAddr) -> Result<Stub, PeerError> {
-        if let Some(stub) = self.lock().get(&peer) {
-            return Ok(stub.clone());
+    async fn connection(&self, peer: SocketAddr) -> Result<PeerRpcClient, PeerError> {
+        if let Some(rpc) = self.lock_connections().get(&peer) {
+            return Ok(rpc.clone());
         }
         let mut connect = tcp::connect(peer, Bincode::default);
         connect.config_mut().max_frame_length(MAX_FRAME_BYTES);
         let transport = connect
             .await
             .map_err(|source| UnreachableSnafu.into_error(source))?;
-        let stub = Stub::new(Config::default(), transport).spawn();
-        self.lock().insert(peer, stub.clone());
-        Ok(stub)
+        let rpc = PeerRpcClient::new(Config::default(), transport).spawn();
+        self.lock_connections().insert(peer, rpc.clone());
+        Ok(rpc)
     }
 
-    fn forget(&self, peer: SocketAddr) {
-        self.lock().remove(&peer);
+    fn drop_connection(&self, peer: SocketAddr) {
+        self.lock_connections().remove(&peer);
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<SocketAddr, Stub>> {
+    fn lock_connections(&self) -> std::sync::MutexGuard<'_, BTreeMap<SocketAddr, PeerRpcClient>> {
         self.connections
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -241,7 +249,7 @@
 
 fn no_reply<Reply>(timeout_ms: u64) -> Result<Reply, PeerError> {
     NoReplySnafu {
-        reason: format!("none within {timeout_ms} ms"),
+        reason: format!("timed out after {timeout_ms} ms"),
     }
     .fail()
 }
--- a/crates/sapphiretrack-peer/src/error.rs
+++ b/crates/sapphiretrack-peer/src/error.rs
@@ -2,42 +2,44 @@
 
 use snafu::Snafu;
 
-/// Why a call to a peer gave no reply.
+/// Why a call to a peer did not return a usable reply.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum PeerError {
-    /// No connection.
+    /// No connection was established.
     #[snafu(display("the peer cannot be reached: {source}"))]
     Unreachable {
-        /// What the transport said.
+        /// The transport's error.
         source: std::io::Error,
     },
-    /// No reply in time.
+    /// The peer did not reply in time.
     #[snafu(display("no reply from the peer: {reason}"))]
     NoReply {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// The peer does not take our key or version, or replied with another kind of message.
+    /// The peer does not accept this router's key or protocol version, or the reply is not signed
+    /// with the key or is of an unexpected kind.
     #[snafu(display("the peer rejected the call; hint: check --cell-key on both routers"))]
     Rejected,
     /// The message cannot be encoded.
     #[snafu(display("the message cannot be encoded: {source}"))]
     Encode {
-        /// Why.
+        /// The cause.
         source: bincode::Error,
     },
     /// The connection ended before the reply.
     #[snafu(display("the connection to the peer ended: {reason}"))]
     ConnectionLost {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
 }
 
 impl PeerError {
-    /// Whether nothing listens at the peer's address: its process has ended.
-    pub fn is_refused(&self) -> bool {
+    /// Whether the connection was refused: nothing listens at the peer's address, so its process
+    /// has ended.
+    pub fn is_connection_refused(&self) -> bool {
         matches!(self, Self::Unreachable { source }
             if source.kind() == std::io::ErrorKind::ConnectionRefused)
     }
--- a/crates/sapphiretrack-peer/src/lib.rs
+++ b/crates/sapphiretrack-peer/src/lib.rs
@@ -9,9 +9,9 @@
 pub use client::{PeerClient, Settings, SlotReply};
 pub use error::PeerError;
 pub use server::{PeerHandlers, serve};
-pub use signing::{Opened, Signed, SigningKey};
+pub use signing::{Signed, SigningKey, Verification};
 pub use wire::{
-    ConfigReply, ConfigUpdate, Heartbeat, HeartbeatReply, InFlight, MAX_HANDED_CHATS,
+    ConfigReply, ConfigUpdate, Heartbeat, HeartbeatReply, InFlight, MAX_HAND_OVER_CHATS,
     OLDEST_PROTOCOL_VERSION, PROTOCOL_VERSION, PeerReply, PeerRequest, Section, ServerState,
     VmListReply,
 };
--- a/crates/sapphiretrack-peer/src/server.rs
+++ b/crates/sapphiretrack-peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves calls of peers.
+//! Server for calls from peers.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -15,30 +15,31 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tokio::time::timeout;
 
-use crate::signing::{Opened, Signed, SigningKey};
+use crate::signing::{Signed, SigningKey, Verification};
 use crate::wire::{MAX_FRAME_BYTES, PeerReply, PeerRequest};
 
-/// A connection on which no call comes for so long is closed: the other end of it may be gone
-/// without a word.
-const MAX_SILENCE: Duration = Duration::from_secs(30);
+/// A connection without a call for this long is closed, since its other end may have disappeared
+/// without closing it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The one remote procedure; requests differ by their body.
+/// The only remote procedure. The signed body determines the kind of request.
 #[tarpc::service]
-pub(crate) trait CellRpc {
+pub(crate) trait PeerRpc {
     /// Runs a signed request.
     async fn call(request: Signed) -> Signed;
 }
 
-/// What the daemon does with calls of peers.
+/// Callbacks of the daemon for calls from peers.
 #[derive(Clone)]
 pub struct PeerHandlers {
-    /// Runs a request that carries the cell's key.
+    /// Handles a request that is signed with the cell's key.
     pub handle: Arc<dyn Fn(PeerRequest) -> BoxFuture<'static, PeerReply> + Send + Sync>,
-    /// Told of each call that was foreign or malformed.
+    /// Called for each message that is not signed with the cell's key or is malformed.
     pub rejected: Arc<dyn Fn() + Send + Sync>,
 }
 
-/// Serves peers on this address until the task is dropped; returns the bound address.
+/// Listens for peers on `address`. Returns the bound address and the future that serves them until
+/// it is dropped.
 pub async fn serve(
     address: SocketAddr,
     key: SigningKey,
@@ -46,15 +47,15 @@
 ) -> std::io::Result<(SocketAddr, BoxFuture<'static, ()>)> {
     let mut incoming = tcp::listen(&address, Bincode::default).await?;
     incoming.config_mut().max_frame_length(MAX_FRAME_BYTES);
-    let bound = incoming.local_addr();
+    let bound_address = incoming.local_addr();
     let server = PeerServer { key, handlers };
-    let accepting = async move {
+    let accept_loop = async move {
         while let Some(connection) = incoming.next().await {
             let Ok(transport) = connection else { continue };
             let server = server.clone();
             tokio::spawn(async move {
                 let mut requests = pin!(BaseChannel::with_defaults(transport).requests());
-                while let Ok(Some(request)) = timeout(MAX_SILENCE, requests.next()).await {
+                while let Ok(Some(request)) = timeout(IDLE_TIMEOUT, requests.next()).await {
                     match request {
                         Ok(request) => {
                             tokio::spawn(request.execute(server.clone().serve()));
@@ -70,7 +71,7 @@
             });
         }
     };
-    Ok((bound, Box::pin(accepting)))
+    Ok((bound_address, Box::pin(accept_loop)))
 }
 
 #[derive(Clone)]
@@ -79,27 +80,28 @@
     handlers: PeerHandlers,
 }
 
-impl CellRpc for PeerServer {
+impl PeerRpc for PeerServer {
     async fn call(self, _: Context, request: Signed) -> Signed {
-        let reply = match self.key.open(&request) {
-            Opened::Request(call) => (self.handlers.handle)(call).await,
-            Opened::Later => PeerReply::Unsupported,
-            Opened::Foreign => {
+        let reply = match self.key.verify(&request) {
+            Verification::Valid(call) => (self.handlers.handle)(call).await,
+            Verification::UnsupportedVersion => PeerReply::Unsupported,
+            Verification::Invalid => {
                 (self.handlers.rejected)();
                 PeerReply::Rejected
             }
         };
-        // A reply that cannot be encoded is answered like no reply: the caller rejects it.
+        // If the reply cannot be encoded, the request is sent back: the caller rejects it because
+        // its signature is not that of a reply.
         self.key.sign_reply(&request, &reply).unwrap_or(request)
     }
 }
 
-/// Whether a connection ended because of what came, and not because it broke.
+/// Whether a connection ended because of malformed data and not because of a transport error.
 fn is_malformed(error: &ChannelError<std::io::Error>) -> bool {
     let ChannelError::Read(error) = error else {
         return false;
     };
-    // The transport wraps the error of its codec.
+    // The transport wraps the codec's error.
     let inner = error
         .get_ref()
         .and_then(|inner| inner.downcast_ref::<std::io::Error>());
--- a/crates/sapphiretrack-peer/src/wire.rs
+++ b/crates/sapphiretrack-peer/src/wire.rs
@@ -1,8 +1,9 @@
 //! The messages between routers.
 //!
-//! Two releases run side by side: enums grow at their end only, and a heartbeat grows by new
-//! kinds of [`Section`], which an older release passes over. A change that an older release
-//! cannot pass over raises [`OLDEST_PROTOCOL_VERSION`] one release after it was last sent.
+//! Two releases may run side by side. New variants are therefore added at the end of an enum only,
+//! and a heartbeat is extended by new kinds of [`Section`], which older releases ignore. A change
+//! that an older release cannot ignore raises [`OLDEST_PROTOCOL_VERSION`] one release after the
+//! old form was last sent.
 
 use std::net::SocketAddr;
 
@@ -12,72 +13,74 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The version of the messages that this release sends.
+/// Protocol version that this release sends.
 pub const PROTOCOL_VERSION: u16 = 3;
-/// The oldest version that this release understands.
+/// Oldest protocol version that this release accepts.
 pub const OLDEST_PROTOCOL_VERSION: u16 = 2;
-/// The largest message; a configuration of 24,000 workspaces fits.
+/// Maximum size of a message, in bytes. A configuration with 24,000 workspaces fits.
 pub(crate) const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Chats of one hand-over; more are passed over, so that taking them in never holds a router up.
-pub const MAX_HANDED_CHATS: usize = 1_024;
+/// Maximum number of chats in one hand-over. Further chats are ignored, so that merging them never
+/// delays a router for long.
+pub const MAX_HAND_OVER_CHATS: usize = 1_024;
 
-/// What a router tells each peer of its cell, again and again.
+/// The state that a router regularly sends to each peer of its cell.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Who.
+    /// The sender.
     pub router: RouterId,
-    /// Which run of it.
+    /// Incarnation of the sender: the number of its current run.
     pub incarnation: Incarnation,
-    /// Rises with each heartbeat, and over restarts too.
+    /// Increases with each heartbeat, also across restarts.
     pub sequence: u64,
-    /// The newest sequence number of the receiver that the sender has taken in; 0 for none.
+    /// Newest sequence number of the receiver that the sender has processed; 0 if there is none.
     pub seen_sequence: u64,
-    /// Whether it takes new work.
+    /// Whether the sender accepts new work.
     pub state: VmState,
-    /// The configuration version that it has in force.
+    /// Version of the configuration in force at the sender.
     pub config_version: u64,
-    /// Who it is, for a receiver that may not know.
+    /// Name, zone and addresses of the sender, if the receiver may not know them yet.
     pub profile: Option<Box<RouterProfile>>,
-    /// Its own requests in flight.
+    /// The sender's own requests in flight.
     pub in_flight: InFlight,
-    /// What it knows first-hand of the servers that it watches.
+    /// States of the backend servers that the sender monitors itself.
     pub servers: Vec<ServerState>,
-    /// What it holds on the servers whose steward the receiver is.
+    /// Slots that the sender holds on servers for which the receiver is the steward.
     pub held: HeldSlots,
-    /// Incarnations of servers that are newly known to be leaving, from whichever signal.
-    pub left_servers: Vec<(ServerId, Incarnation)>,
-    /// Tells two lists of VMs apart; 0 before the first list.
+    /// Incarnations of servers that the sender has recently learned to be leaving, from any source.
+    pub leaving_servers: Vec<(ServerId, Incarnation)>,
+    /// Digest of the sender's list of VMs; 0 before the first list.
     pub list_digest: u64,
-    /// Routers that the sender lost a moment ago: the receiver looks after them at once.
+    /// Routers with which the sender recently lost contact. The receiver checks them at once.
     pub suspects: Vec<RouterId>,
-    /// What later releases add.
+    /// Extensions of later releases.
     pub sections: Vec<Section>,
 }
 
-/// A router's own requests in flight by server.
+/// A router's own requests in flight, by server.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct InFlight {
-    /// Whether servers that are not named have none; else they are as in the heartbeat before.
+    /// Whether `counts` is complete. If so, a server that is not listed has no requests in flight;
+    /// otherwise its count is unchanged since the previous heartbeat.
     pub whole: bool,
-    /// The counts.
+    /// Number of requests in flight on each listed server.
     pub counts: Vec<(ServerId, u16)>,
 }
 
-/// A part of a heartbeat that releases before its kind pass over.
+/// An extension of a heartbeat. A release that does not know its kind ignores it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Section {
-    /// What it is.
+    /// Identifies the meaning of the content.
     pub kind: u16,
-    /// Its encoded content.
+    /// The encoded content.
     pub body: Vec<u8>,
 }
 
 impl Section {
-    /// The sender has resigned: it is leaving, and in this run it grants no slot any more.
+    /// The sender has resigned: it is leaving and grants no more slots in this run.
     pub const RESIGNED: u16 = 1;
 
-    /// The section that says that the sender has resigned.
+    /// Creates the section which states that the sender has resigned.
     pub fn resigned() -> Self {
         Self {
             kind: Self::RESIGNED,
@@ -87,130 +90,133 @@
 }
 
 impl Heartbeat {
-    /// Whether the sender grants no slot any more in this run.
+    /// Whether the sender has resigned and grants no more slots in this run.
     pub fn has_resigned(&self) -> bool {
         let mut sections = self.sections.iter();
         sections.any(|section| section.kind == Section::RESIGNED)
     }
 }
 
-/// What a router knows first-hand of a backend server that it watches.
+/// State of a backend server, as seen by a router that monitors it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServerState {
     /// The server.
     pub server: ServerId,
-    /// Whether it is leaving; this outranks live for its incarnation.
+    /// Whether the server is leaving. Leaving takes precedence over live for the same incarnation.
     pub state: VmState,
-    /// Whether it answers.
+    /// Whether the server answers.
     pub reachable: bool,
-    /// Its last load report.
+    /// The server's last load report.
     pub report: LoadReport,
 }
 
-/// The answer to a heartbeat.
+/// The reply to a heartbeat.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HeartbeatReply {
-    /// The configuration version that the receiver has in force.
+    /// Version of the configuration in force at the receiver.
     pub config_version: u64,
-    /// The receiver lacks the profile or the heartbeats before: the next one has to be whole.
+    /// Whether the receiver lacks the sender's profile or earlier heartbeats, so that the next one
+    /// must contain the profile and all counts.
     pub wants_whole: bool,
-    /// The newest incarnation of the sender that the receiver ever seen.
+    /// Newest incarnation of the sender that the receiver has seen.
     pub known_incarnation: Incarnation,
-    /// To a sender that brought its profile: where the receiver's other peers are reached.
+    /// Addresses of the receiver's other peers, for a sender that included its profile.
     pub introduced: Vec<(RouterId, SocketAddr)>,
 }
 
-/// A configuration, as JSON text, since its form may grow.
+/// A configuration, as JSON text because its format may be extended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigReply {
     /// The `FleetConfig`.
     pub config_json: String,
 }
 
-/// A list of VMs, as JSON text, since its form may grow.
+/// A list of VMs, as JSON text because its format may be extended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct VmListReply {
     /// The VM records.
     pub vms_json: String,
 }
 
-/// What brings an older configuration up to date.
+/// An update for an older configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigUpdate {
     /// The whole `FleetConfig`, as JSON text.
     Whole(String),
-    /// The changes since, a list of `HistoryEntry`, as JSON text.
+    /// The changes since the older configuration: a list of `HistoryEntry`, as JSON text.
     Changes(String),
 }
 
-/// A call from one router to another.
+/// A request from one router to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerRequest {
-    /// Tells the sender's state.
+    /// Reports the sender's state.
     Heartbeat(Box<Heartbeat>),
-    /// Asks the receiver, as steward, for a slot.
+    /// Requests a slot from the receiver as steward.
     Reserve(ReserveRequest),
-    /// Gives a slot back.
+    /// Returns a slot to its steward.
     Release {
-        /// Who held it.
+        /// The router that held the slot.
         router: RouterId,
-        /// On which server.
+        /// The server that the slot belongs to.
         server: ServerId,
         /// The reservation.
         reservation: ReservationId,
-        /// The sender's requests in flight on the server's pool.
+        /// The sender's number of requests in flight in the server's pool.
         in_flight: u16,
     },
-    /// Asks for the receiver's configuration.
+    /// Requests the receiver's configuration.
     FetchConfig,
-    /// Asks for what is newer than the sender's configuration.
+    /// Requests the changes since the sender's configuration.
     FetchConfigSince {
-        /// The version that the sender has.
+        /// Version of the sender's configuration.
         version: u64,
-        /// The change that made it, since a restored platform may give a number twice.
+        /// Id of the change that created the version, because a restored platform may assign a
+        /// version number twice.
         change_id: String,
     },
-    /// Asks the receiver, as steward, for a part of a customer's budget.
+    /// Requests a part of a customer's budget from the receiver as steward.
     LeaseBudget(BudgetAsk),
-    /// Asks for the receiver's list of VMs, for a router that cannot reach the platform.
+    /// Requests the receiver's list of VMs. Sent by a router that cannot reach the platform.
     FetchVmList,
-    /// Hands over where chats are warm, at most [`MAX_HANDED_CHATS`] of them; since version 3.
+    /// Hands over on which servers chats are warm, for at most [`MAX_HAND_OVER_CHATS`] chats. Added
+    /// in version 3.
     HandOver(WarmList),
-    /// Asks the receiver again, as steward, after it refused for want of room.
+    /// Repeats a slot request that the receiver refused as steward because the server was full.
     ReserveAgain {
-        /// The question.
+        /// The slot request.
         request: ReserveRequest,
-        /// What the sender knows of the pool's load.
-        told: ToldLoad,
+        /// What the sender knows about the pool's load.
+        known_load: ToldLoad,
     },
 }
 
-/// The reply to a call.
+/// The reply to a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerReply {
-    /// To a heartbeat.
+    /// Reply to a heartbeat.
     Heartbeat(HeartbeatReply),
-    /// To a reservation.
+    /// Reply to a slot request: the steward's decision.
     Reserve(Grant),
-    /// To a release.
+    /// Reply to a release.
     Released,
-    /// To a request for the configuration.
+    /// Reply to a request for the configuration.
     Config(ConfigReply),
-    /// The call was not signed by the cell's key, or is malformed.
+    /// The request is not signed with the cell's key or is malformed.
     Rejected,
-    /// To a request for what is newer: a list of `HistoryEntry` as JSON text.
+    /// Reply to a request for newer changes: a list of `HistoryEntry`, as JSON text.
     ConfigChanges(String),
-    /// To a question about a budget.
+    /// Reply to a request for a part of a budget.
     Budget(BudgetReply),
-    /// To a request for the list of VMs.
+    /// Reply to a request for the list of VMs.
     VmList(VmListReply),
-    /// The call is of a later release than the receiver.
+    /// The request is of a later release and unknown to the receiver.
     Unsupported,
-    /// To a hand-over.
-    TakenOver {
-        /// Chats of which the receiver knew nothing as new.
+    /// Reply to a hand-over.
+    HandedOver {
+        /// Number of chats for which the receiver had no information as recent.
         chats: u32,
     },
-    /// To a reservation that finds no room.
+    /// Reply to a slot request that is refused because the server is full.
     Full(FullServer),
 }
--- a/crates/sapphiretrack-peer/tests/arbitrary.rs
+++ b/crates/sapphiretrack-peer/tests/arbitrary.rs
@@ -1,4 +1,4 @@
-//! Peer messages of any form: what is valid arrives unchanged, all else is dropped and counted.
+//! Arbitrary peer messages: valid ones arrive unchanged, all others are dropped and counted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
     RouterProfile, ServerId, VmState,
 };
 use sapphiretrack_peer::{
-    ConfigReply, Heartbeat, HeartbeatReply, InFlight, Opened, PROTOCOL_VERSION, PeerHandlers,
-    PeerReply, PeerRequest, Section, ServerState, Signed, SigningKey, VmListReply, serve,
+    ConfigReply, Heartbeat, HeartbeatReply, InFlight, PROTOCOL_VERSION, PeerHandlers, PeerReply,
+    PeerRequest, Section, ServerState, Signed, SigningKey, Verification, VmListReply, serve,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -47,7 +47,7 @@
 
 fn profile() -> impl Strategy<Value = Box<RouterProfile>> {
     let address = any::<SocketAddr>().prop_map(|address| match address {
-        // Scope and flow are no part of an address on the wire.
+        // The scope id and flow label of an IPv6 address are not encoded.
         SocketAddr::V6(v6) => SocketAddr::from((*v6.ip(), v6.port())),
         SocketAddr::V4(_) => address,
     });
@@ -82,10 +82,10 @@
     let numbers = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>());
     let counts = vec((any::<u64>(), any::<u16>()), 0..4);
     let sections = vec((any::<u16>(), vec(any::<u8>(), 0..20)), 0..3);
-    let left = vec((any::<u64>(), any::<u64>()), 0..3);
+    let leaving = vec((any::<u64>(), any::<u64>()), 0..3);
     let parts = (option::of(profile()), vec(server_state(), 0..3), held());
-    (numbers, vm_state(), counts, sections, left, parts).prop_map(
-        |((router, incarnation, sequence, digest), state, counts, sections, left, parts)| {
+    (numbers, vm_state(), counts, sections, leaving, parts).prop_map(
+        |((router, incarnation, sequence, digest), state, counts, sections, leaving, parts)| {
             let (profile, servers, held) = parts;
             let counts = counts.into_iter().map(|(id, count)| (ServerId(id), count));
             Heartbeat {
@@ -102,7 +102,7 @@
                 },
                 servers,
                 held,
-                left_servers: left
+                leaving_servers: leaving
                     .into_iter()
                     .map(|(id, run)| (ServerId(id), run))
                     .collect(),
@@ -121,7 +121,7 @@
     (-1e9..1e9, -1e9..1e9).prop_map(|(requests, tokens)| Amounts { requests, tokens })
 }
 
-fn budget_ask() -> impl Strategy<Value = BudgetAsk> {
+fn budget_request() -> impl Strategy<Value = BudgetAsk> {
     let need = option::of(0.0..1e9);
     let amounts = (amounts(), amounts(), amounts());
     (any::<u64>(), ".{0,20}", amounts, need, any::<u32>()).prop_map(
@@ -166,7 +166,7 @@
         release,
         Just(PeerRequest::FetchConfig),
         since.prop_map(|(version, change_id)| PeerRequest::FetchConfigSince { version, change_id }),
-        budget_ask().prop_map(PeerRequest::LeaseBudget),
+        budget_request().prop_map(PeerRequest::LeaseBudget),
         Just(PeerRequest::FetchVmList),
     ]
 }
@@ -197,31 +197,31 @@
     ]
 }
 
-/// A change of encoded bytes.
+/// A modification of encoded bytes.
 #[derive(Clone, Debug)]
-enum Damage {
+enum Corruption {
     Flip(prop::sample::Index, u8),
     Cut(prop::sample::Index),
     Insert(prop::sample::Index, Vec<u8>),
 }
 
-fn damage() -> impl Strategy<Value = Damage> {
+fn corruption() -> impl Strategy<Value = Corruption> {
     let index = any::<prop::sample::Index>;
     prop_oneof![
-        (index(), 1..=255_u8).prop_map(|(at, bits)| Damage::Flip(at, bits)),
-        index().prop_map(Damage::Cut),
-        (index(), vec(any::<u8>(), 1..12)).prop_map(|(at, bytes)| Damage::Insert(at, bytes)),
+        (index(), 1..=255_u8).prop_map(|(at, bits)| Corruption::Flip(at, bits)),
+        index().prop_map(Corruption::Cut),
+        (index(), vec(any::<u8>(), 1..12)).prop_map(|(at, bytes)| Corruption::Insert(at, bytes)),
     ]
 }
 
-fn damaged(mut body: Vec<u8>, damage: &Damage) -> Vec<u8> {
-    match damage {
-        Damage::Flip(at, bits) => {
+fn corrupted(mut body: Vec<u8>, corruption: &Corruption) -> Vec<u8> {
+    match corruption {
+        Corruption::Flip(at, bits) => {
             let at = at.index(body.len());
             body[at] ^= bits;
         }
-        Damage::Cut(at) => body.truncate(at.index(body.len())),
-        Damage::Insert(at, bytes) => {
+        Corruption::Cut(at) => body.truncate(at.index(body.len())),
+        Corruption::Insert(at, bytes) => {
             let at = at.index(body.len());
             body.splice(at..at, bytes.iter().copied());
         }
@@ -232,84 +232,85 @@
 proptest! {
     #[test]
     fn valid_requests_and_replies_arrive_unchanged(request in request(), reply in reply()) {
-        let signed = key().sign(&request).expect("it is encoded");
-        prop_assert_eq!(key().open(&signed), Opened::Request(request));
-        let answer = key().sign_reply(&signed, &reply).expect("it is encoded");
-        prop_assert_eq!(key().open_reply(&signed, &answer), Some(reply));
+        let signed = key().sign(&request).expect("the message can be encoded");
+        prop_assert_eq!(key().verify(&signed), Verification::Valid(request));
+        let answer = key().sign_reply(&signed, &reply).expect("the message can be encoded");
+        prop_assert_eq!(key().verify_reply(&signed, &answer), Some(reply));
     }
 
     #[test]
-    fn a_damaged_message_is_foreign_and_one_that_is_damaged_and_signed_does_no_harm(
+    fn a_corrupted_message_is_invalid_and_a_signed_corrupted_one_does_not_panic(
         request in request(),
         reply in reply(),
-        damage in damage(),
+        corruption in corruption(),
     ) {
-        let signed = key().sign(&request).expect("it is encoded");
-        let body = damaged(signed.body.clone(), &damage);
+        let signed = key().sign(&request).expect("the message can be encoded");
+        let body = corrupted(signed.body.clone(), &corruption);
         let unsigned = Signed { body: body.clone(), ..signed.clone() };
-        prop_assert_eq!(key().open(&unsigned), Opened::Foreign);
-        // A faulty router of the cell signs what it makes up: it may decode, it must not panic.
-        let genuine = key().sign_body(PROTOCOL_VERSION, body);
-        prop_assert!(!matches!(key().open(&genuine), Opened::Later));
-        let answer = key().sign_reply(&signed, &reply).expect("it is encoded");
-        let body = damaged(answer.body.clone(), &damage);
+        prop_assert_eq!(key().verify(&unsigned), Verification::Invalid);
+        // A faulty router of the cell may sign malformed bytes. Whether or not they decode,
+        // verifying them must not panic.
+        let signed_again = key().sign_body(PROTOCOL_VERSION, body);
+        prop_assert!(!matches!(key().verify(&signed_again), Verification::UnsupportedVersion));
+        let answer = key().sign_reply(&signed, &reply).expect("the message can be encoded");
+        let body = corrupted(answer.body.clone(), &corruption);
         let unsigned = Signed { body, ..answer };
-        prop_assert_eq!(key().open_reply(&signed, &unsigned), None);
+        prop_assert_eq!(key().verify_reply(&signed, &unsigned), None);
     }
 
     #[test]
-    fn arbitrary_bytes_of_any_release_are_foreign_or_later_or_a_whole_request(
+    fn arbitrary_bytes_are_invalid_or_of_an_unsupported_version_or_decode_to_a_request(
         version in any::<u16>(),
         signature in any::<[u8; 16]>(),
         body in vec(any::<u8>(), 0..300),
     ) {
         let unsigned = Signed { version, signature, body: body.clone() };
-        prop_assert_eq!(key().open(&unsigned), Opened::Foreign);
-        let request = key().sign(&PeerRequest::FetchConfig).expect("it is encoded");
-        prop_assert_eq!(key().open_reply(&request, &unsigned), None);
-        let genuine = key().sign_body(version, body);
-        match key().open(&genuine) {
-            // What it holds can be passed on: it is a message like any other.
-            Opened::Request(opened) => prop_assert!(key().sign(&opened).is_ok()),
-            Opened::Later => prop_assert!(version > PROTOCOL_VERSION),
-            Opened::Foreign => prop_assert!(version <= PROTOCOL_VERSION),
+        prop_assert_eq!(key().verify(&unsigned), Verification::Invalid);
+        let request = key().sign(&PeerRequest::FetchConfig).expect("the message can be encoded");
+        prop_assert_eq!(key().verify_reply(&request, &unsigned), None);
+        let signed_again = key().sign_body(version, body);
+        match key().verify(&signed_again) {
+            // A decoded request is like any other and can be encoded again.
+            Verification::Valid(decoded) => prop_assert!(key().sign(&decoded).is_ok()),
+            Verification::UnsupportedVersion => prop_assert!(version > PROTOCOL_VERSION),
+            Verification::Invalid => prop_assert!(version <= PROTOCOL_VERSION),
         }
     }
 }
 
-/// Sends one frame on a connection of its own and waits until the server closed it.
+/// Sends one frame on a new connection and waits until the server closes the connection.
 async fn send_frame(address: SocketAddr, payload: &[u8]) {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
-    let length = u32::try_from(payload.len()).expect("it is short");
+    let length = u32::try_from(payload.len()).expect("the frame is short");
     stream
         .write_all(&[&length.to_be_bytes(), payload].concat())
         .await
-        .expect("it is sent");
+        .expect("the frame is sent");
     let mut rest = Vec::new();
     let closed = tokio::time::timeout(Duration::from_secs(60), stream.read_to_end(&mut rest));
     drop(closed.await.expect("the server closes the connection"));
 }
 
 #[test]
-fn arbitrary_frames_on_the_socket_are_counted_one_by_one() {
-    let runtime = tokio::runtime::Runtime::new().expect("it starts");
+fn each_malformed_frame_on_the_socket_is_counted_once() {
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let (handled, rejected) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
-    let (handles, rejects) = (handled.clone(), rejected.clone());
+    let (count_handled, count_rejected) = (handled.clone(), rejected.clone());
     let handlers = PeerHandlers {
         handle: Arc::new(move |_| {
-            handles.fetch_add(1, Ordering::Relaxed);
+            count_handled.fetch_add(1, Ordering::Relaxed);
             Box::pin(async { PeerReply::Released })
         }),
         rejected: Arc::new(move || {
-            rejects.fetch_add(1, Ordering::Relaxed);
+            count_rejected.fetch_add(1, Ordering::Relaxed);
         }),
     };
-    let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let (address, accepting) = runtime
-        .block_on(serve(free, key(), handlers))
-        .expect("it listens");
-    runtime.spawn(accepting);
-    // A first word of the envelope that names no kind of message.
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let (address, accept_loop) = runtime
+        .block_on(serve(any_port, key(), handlers))
+        .expect("the server listens");
+    runtime.spawn(accept_loop);
+    // The first 4 bytes of these frames are not the index of any transport message.
     let frame = (2_u32.., vec(any::<u8>(), 0..200))
         .prop_map(|(kind, rest)| [&kind.to_le_bytes(), rest.as_slice()].concat());
     proptest!(ProptestConfig::with_cases(64), |(frame in frame)| {
--- a/crates/sapphiretrack-peer/tests/wire.rs
+++ b/crates/sapphiretrack-peer/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between routers: signatures, releases side by side, what comes malformed.
+//! Messages between routers: signatures, compatibility between releases, malformed messages.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -8,9 +8,9 @@
     VmState, WarmList,
 };
 use sapphiretrack_peer::{
-    Heartbeat, HeartbeatReply, InFlight, OLDEST_PROTOCOL_VERSION, Opened, PROTOCOL_VERSION,
-    PeerClient, PeerError, PeerHandlers, PeerReply, PeerRequest, Section, Settings, SigningKey,
-    SlotReply, serve,
+    Heartbeat, HeartbeatReply, InFlight, OLDEST_PROTOCOL_VERSION, PROTOCOL_VERSION, PeerClient,
+    PeerError, PeerHandlers, PeerReply, PeerRequest, Section, Settings, SigningKey, SlotReply,
+    Verification, serve,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -26,7 +26,7 @@
         in_flight: InFlight::default(),
         servers: Vec::new(),
         held: HeldSlots::default(),
-        left_servers: Vec::new(),
+        leaving_servers: Vec::new(),
         list_digest: 0,
         suspects: Vec::new(),
         sections: Vec::new(),
@@ -38,38 +38,42 @@
 }
 
 #[test]
-fn a_request_opens_only_with_its_key_unchanged() {
+fn a_request_is_valid_only_unmodified_and_with_its_key() {
     let key = SigningKey::new("the key of the cell");
-    let signed = key.sign(&request()).expect("it is encoded");
-    assert_eq!(key.open(&signed), Opened::Request(request()));
+    let signed = key.sign(&request()).expect("the message can be encoded");
+    assert_eq!(key.verify(&signed), Verification::Valid(request()));
     assert_eq!(
-        SigningKey::new("another key").open(&signed),
-        Opened::Foreign
+        SigningKey::new("another key").verify(&signed),
+        Verification::Invalid
     );
-    assert_eq!(SigningKey::new("").open(&signed), Opened::Foreign);
+    assert_eq!(SigningKey::new("").verify(&signed), Verification::Invalid);
     for index in 0..signed.body.len() {
         let mut changed = signed.clone();
         changed.body[index] ^= 1;
-        assert_eq!(key.open(&changed), Opened::Foreign, "byte {index}");
+        assert_eq!(key.verify(&changed), Verification::Invalid, "byte {index}");
     }
     let mut renumbered = signed.clone();
     renumbered.version += 1;
-    assert_eq!(key.open(&renumbered), Opened::Foreign);
+    assert_eq!(key.verify(&renumbered), Verification::Invalid);
 }
 
 #[test]
-fn a_reply_fits_its_request_only() {
+fn a_reply_is_valid_for_its_request_only() {
     let key = SigningKey::new("the key of the cell");
-    let one = key.sign(&request()).expect("it is encoded");
-    let other = key.sign(&PeerRequest::FetchConfig).expect("it is encoded");
+    let one = key.sign(&request()).expect("the message can be encoded");
+    let other = key
+        .sign(&PeerRequest::FetchConfig)
+        .expect("the message can be encoded");
     let reply = PeerReply::Heartbeat(HeartbeatReply::default());
-    let signed = key.sign_reply(&one, &reply).expect("it is encoded");
-    assert_eq!(key.open_reply(&one, &signed), Some(reply));
-    assert_eq!(key.open_reply(&other, &signed), None);
+    let signed = key
+        .sign_reply(&one, &reply)
+        .expect("the message can be encoded");
+    assert_eq!(key.verify_reply(&one, &signed), Some(reply));
+    assert_eq!(key.verify_reply(&other, &signed), None);
 }
 
 #[test]
-fn a_section_of_a_later_release_is_passed_over_and_its_other_calls_are_not_malformed() {
+fn unknown_sections_are_ignored_and_unknown_requests_of_later_releases_are_not_invalid() {
     let key = SigningKey::new("the key of the cell");
     let later = Heartbeat {
         sections: vec![Section {
@@ -79,19 +83,19 @@
         ..heartbeat()
     };
     let call = PeerRequest::Heartbeat(Box::new(later));
-    let signed = key.sign(&call).expect("it is encoded");
-    assert_eq!(key.open(&signed), Opened::Request(call));
-    // A call that this release does not know, signed as the later release signs it.
+    let signed = key.sign(&call).expect("the message can be encoded");
+    assert_eq!(key.verify(&signed), Verification::Valid(call));
+    // A request that this release does not know, as a later release signs it.
     let unknown = key.sign_body(PROTOCOL_VERSION + 1, vec![200, 1, 2]);
-    assert_eq!(key.open(&unknown), Opened::Later);
+    assert_eq!(key.verify(&unknown), Verification::UnsupportedVersion);
     let malformed = key.sign_body(PROTOCOL_VERSION, vec![200, 1, 2]);
-    assert_eq!(key.open(&malformed), Opened::Foreign);
+    assert_eq!(key.verify(&malformed), Verification::Invalid);
     let too_old = key.sign_body(OLDEST_PROTOCOL_VERSION - 1, signed.body);
-    assert_eq!(key.open(&too_old), Opened::Foreign);
+    assert_eq!(key.verify(&too_old), Verification::Invalid);
 }
 
 #[test]
-fn a_heartbeat_tells_that_its_sender_has_resigned() {
+fn a_heartbeat_states_that_its_sender_has_resigned() {
     let key = SigningKey::new("the key of the cell");
     assert!(!heartbeat().has_resigned());
     let resigned = Heartbeat {
@@ -99,32 +103,32 @@
         ..heartbeat()
     };
     let call = PeerRequest::Heartbeat(Box::new(resigned));
-    let signed = key.sign(&call).expect("it is encoded");
-    let Opened::Request(PeerRequest::Heartbeat(read)) = key.open(&signed) else {
-        panic!("it is not a heartbeat");
+    let signed = key.sign(&call).expect("the message can be encoded");
+    let Verification::Valid(PeerRequest::Heartbeat(read)) = key.verify(&signed) else {
+        panic!("expected a heartbeat");
     };
     assert!(read.has_resigned());
 }
 
 #[test]
-fn a_hand_over_is_told_as_of_a_later_release_than_those_that_lack_it() {
-    // Releases of version 2 lack the call; what they cannot read of a later one is no malformed
-    // message to them.
+fn a_hand_over_is_sent_with_a_later_version_than_releases_without_it() {
+    // Releases of version 2 do not know this request. With a later version number they treat it as
+    // unsupported and not as malformed.
     let key = SigningKey::new("the key of the cell");
     let call = PeerRequest::HandOver(WarmList::default());
-    let signed = key.sign(&call).expect("it is encoded");
+    let signed = key.sign(&call).expect("the message can be encoded");
     assert!(signed.version > 2, "version {}", signed.version);
-    assert_eq!(key.open(&signed), Opened::Request(call));
+    assert_eq!(key.verify(&signed), Verification::Valid(call));
 }
 
 #[test]
 fn an_idle_heartbeat_is_small() {
     let key = SigningKey::new("the key of the cell");
-    let signed = key.sign(&request()).expect("it is encoded");
+    let signed = key.sign(&request()).expect("the message can be encoded");
     assert!(signed.body.len() < 48, "{} bytes", signed.body.len());
 }
 
-/// Serves with one key; returns the address and the count of rejected calls.
+/// Starts a server with this key. Returns its address and the count of rejected messages.
 async fn server(key: &str) -> (std::net::SocketAddr, Arc<AtomicU32>) {
     let rejected = Arc::new(AtomicU32::new(0));
     let count = rejected.clone();
@@ -134,22 +138,25 @@
             count.fetch_add(1, Ordering::Relaxed);
         }),
     };
-    let free = "127.0.0.1:0".parse().expect("an address");
-    let (address, accepting) = serve(free, SigningKey::new(key), handlers)
+    let any_port = "127.0.0.1:0".parse().expect("an address");
+    let (address, accept_loop) = serve(any_port, SigningKey::new(key), handlers)
         .await
-        .expect("it listens");
-    tokio::spawn(accepting);
+        .expect("the server listens");
+    tokio::spawn(accept_loop);
     (address, rejected)
 }
 
 #[tokio::test]
-async fn foreign_and_malformed_messages_are_counted_and_dropped() {
+async fn messages_with_another_key_and_malformed_ones_are_counted_and_dropped() {
     let (address, rejected) = server("the key of the cell").await;
-    let good = PeerClient::new(Settings::default(), SigningKey::new("the key of the cell"));
-    good.heartbeat(address, heartbeat()).await.expect("a reply");
+    let client = PeerClient::new(Settings::default(), SigningKey::new("the key of the cell"));
+    client
+        .heartbeat(address, heartbeat())
+        .await
+        .expect("a reply");
     assert_eq!(rejected.load(Ordering::Relaxed), 0);
-    let foreign = PeerClient::new(Settings::default(), SigningKey::new("a foreign key"));
-    let refused = foreign.heartbeat(address, heartbeat()).await;
+    let other_key_client = PeerClient::new(Settings::default(), SigningKey::new("another key"));
+    let refused = other_key_client.heartbeat(address, heartbeat()).await;
     assert!(matches!(refused, Err(PeerError::Rejected)), "{refused:?}");
     assert_eq!(rejected.load(Ordering::Relaxed), 1);
     let mut raw = tokio::net::TcpStream::connect(address)
@@ -157,22 +164,23 @@
         .expect("a connection");
     raw.write_all(b"\x00\x00\x00\x04\xff\xff\xff\xff")
         .await
-        .expect("it is sent");
+        .expect("the bytes are sent");
     let mut rest = Vec::new();
     raw.read_to_end(&mut rest)
         .await
         .expect("the server closes the connection");
     assert_eq!(rejected.load(Ordering::Relaxed), 2);
-    good.heartbeat(address, heartbeat())
+    client
+        .heartbeat(address, heartbeat())
         .await
-        .expect("others are served on");
+        .expect("other connections are still served");
 }
 
 #[tokio::test]
-async fn an_address_without_a_listener_is_told_apart_from_silence() {
+async fn a_refused_connection_is_distinguished_from_a_timeout() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("it listens");
+        .expect("the server listens");
     let address = listener.local_addr().expect("an address");
     let settings = Settings {
         call_timeout_ms: 50,
@@ -182,18 +190,18 @@
     let silent = client
         .heartbeat(address, heartbeat())
         .await
-        .expect_err("nobody answers");
-    assert!(!silent.is_refused(), "{silent}");
+        .expect_err("the call times out");
+    assert!(!silent.is_connection_refused(), "{silent}");
     drop(listener);
     let refused = client
         .heartbeat(address, heartbeat())
         .await
-        .expect_err("nobody listens");
-    assert!(refused.is_refused(), "{refused}");
+        .expect_err("the connection is refused");
+    assert!(refused.is_connection_refused(), "{refused}");
 }
 
 #[tokio::test]
-async fn a_refusal_for_want_of_room_brings_counts_and_can_be_asked_again() {
+async fn a_refusal_of_a_full_server_contains_counts_and_the_request_can_be_repeated() {
     let full = FullServer {
         held: 8,
         in_flight: 11,
@@ -203,7 +211,9 @@
         handle: Arc::new(move |call| {
             Box::pin(async move {
                 match call {
-                    PeerRequest::ReserveAgain { told, .. } if told.live_servers == 12 => {
+                    PeerRequest::ReserveAgain { known_load, .. }
+                        if known_load.live_servers == 12 =>
+                    {
                         PeerReply::Reserve(Grant::Granted)
                     }
                     _ => PeerReply::Full(full),
@@ -212,25 +222,30 @@
         }),
         rejected: Arc::new(|| {}),
     };
-    let free = "127.0.0.1:0".parse().expect("an address");
-    let (address, accepting) = serve(free, SigningKey::new("the key of the cell"), handlers)
+    let any_port = "127.0.0.1:0".parse().expect("an address");
+    let (address, accept_loop) = serve(any_port, SigningKey::new("the key of the cell"), handlers)
         .await
-        .expect("it listens");
-    tokio::spawn(accepting);
+        .expect("the server listens");
+    tokio::spawn(accept_loop);
     let client = PeerClient::new(Settings::default(), SigningKey::new("the key of the cell"));
-    let ask = ReserveRequest {
+    let slot_request = ReserveRequest {
         router: RouterId(1),
         reservation: ReservationId(1),
         server: ServerId(1),
         bound_share: 1.0,
         in_flight: 10,
     };
-    let told = ToldLoad {
+    let known_load = ToldLoad {
         least_in_flight: 95,
         live_servers: 12,
     };
-    let first = client.reserve(address, ask, None).await.expect("a reply");
-    let again = client.reserve(address, ask, Some(told)).await;
+    let first = client
+        .reserve(address, slot_request, None)
+        .await
+        .expect("a reply");
+    let again = client
+        .reserve(address, slot_request, Some(known_load))
+        .await;
     assert_eq!(first, SlotReply::Full(full));
     assert_eq!(again.expect("a reply"), SlotReply::Decided(Grant::Granted));
 }
