--- a/crates/sapphiretrack-platform/src/claims.rs
+++ b/crates/sapphiretrack-platform/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims of non-idempotent requests in the table.
+//! Claims of non-idempotent requests in the platform's table.
 //!
-//! Each claim has a second row that orders claims by age, written and deleted in the same
-//! transaction, so that a sweep reads only what it deletes.
+//! Each claim has a second row, whose key orders claims by age. Both rows are written and deleted
+//! in the same transaction, so that a sweep finds expired claims without reading all others.
 
 use sapphiretrack_core::{Claim, ClaimState, claim_expired};
 use serde::{Deserialize, Serialize};
@@ -13,56 +13,57 @@
 
 const CLAIM_PREFIX: &str = "claim/";
 const EXPIRY_PREFIX: &str = "claim-expiry/";
-/// The most claims that one transaction of a sweep deletes.
-const SWEEP_CLAIMS: u32 = 50;
+/// Maximum number of claims that one transaction of a sweep deletes.
+const MAX_SWEPT_CLAIMS: u32 = 50;
 
-/// What came of writing a claim.
+/// Result of writing a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ClaimWritten {
-    /// The claim is ours.
-    Ours {
-        /// Its row's version, for the withdrawal and the record of the answer.
+pub enum ClaimWriteResult {
+    /// The claim was written and belongs to the caller.
+    Acquired {
+        /// Version of the claim's row, which recording the answer requires.
         row_version: u64,
     },
-    /// There is a claim already.
-    Found(Claim),
+    /// A claim with this key already exists.
+    Existing(Claim),
 }
 
-/// What a sweep did.
+/// Result of a sweep.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Swept {
-    /// Claims that were deleted.
+pub struct SweepResult {
+    /// Number of deleted claims.
     pub deleted: usize,
-    /// Whether there may be more to delete.
+    /// Whether there may be more claims to delete.
     pub more: bool,
 }
 
-/// The value of the row that orders a claim by age.
+/// Value of the second row of a claim, which orders claims by age.
 #[derive(Debug, Deserialize, Serialize)]
 struct Expiry {
     claim_row: String,
     claimed_at_ms: u64,
 }
 
-/// Writes and reads claims.
+/// Store of claims in the platform's table.
 #[derive(Clone, Debug)]
 pub struct ClaimStore {
     platform: PlatformClient,
 }
 
 impl ClaimStore {
-    /// A store on this platform.
+    /// Creates a store on this platform.
     pub fn new(platform: PlatformClient) -> Self {
         Self { platform }
     }
 
-    /// Writes a claim where there is none. A lost reply is settled by reading the row back.
+    /// Writes a claim if there is none with this key. After a lost reply or a conflict, the row is
+    /// read back.
     pub async fn write(
         &self,
         customer: &str,
         key: &str,
         claim: &Claim,
-    ) -> Result<ClaimWritten, PlatformError> {
+    ) -> Result<ClaimWriteResult, PlatformError> {
         let row_key = row_key(customer, key);
         let expiry = Expiry {
             claim_row: row_key.clone(),
@@ -75,7 +76,9 @@
             writes: vec![put(&row_key, claim)?, put(&expiry_key(claim), &expiry)?],
         };
         match self.platform.transact(&request).await {
-            Ok(TransactReply::Committed { row_version }) => Ok(ClaimWritten::Ours { row_version }),
+            Ok(TransactReply::Committed { row_version }) => {
+                Ok(ClaimWriteResult::Acquired { row_version })
+            }
             Ok(TransactReply::Conflict { .. }) | Err(PlatformError::ReplyLost { .. }) => {
                 self.read_back(&row_key, claim).await
             }
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Records the answer of a request that ran; true if the row holds it now.
+    /// Records the answer of a request that ran. Returns whether the row contains it now.
     pub async fn finish(
         &self,
         customer: &str,
@@ -101,7 +104,7 @@
         };
         match self.platform.transact(&request).await? {
             TransactReply::Committed { .. } => Ok(true),
-            // An earlier try whose reply was lost may have written it.
+            // An earlier attempt whose reply was lost may have written the answer.
             TransactReply::Conflict { .. } => Ok(self
                 .read(&row_key)
                 .await?
@@ -109,8 +112,11 @@
         }
     }
 
-    /// Withdraws a claim whose request was not sent; only its writer may call this. False if
-    /// the row is not there: withdrawn before, or not written yet.
+    /// Withdraws a claim whose request was not sent. Only the claim's writer may call this.
+    ///
+    /// Returns whether this call deleted the claim. It does not if the row does not exist (the
+    /// claim is already withdrawn or not written yet), if it contains another claim or a recorded
+    /// answer, or if it changes in the meantime.
     pub async fn withdraw(
         &self,
         customer: &str,
@@ -140,21 +146,22 @@
         Ok(matches!(reply, TransactReply::Committed { .. }))
     }
 
-    /// Deletes some claims past their retention, the oldest first: one read, at most one write.
-    pub async fn sweep(&self, now_ms: u64) -> Result<Swept, PlatformError> {
+    /// Deletes some claims past their retention, the oldest first. Makes one read and at most one
+    /// write.
+    pub async fn sweep(&self, now_ms: u64) -> Result<SweepResult, PlatformError> {
         let rows = self
             .platform
-            .scan_page(EXPIRY_PREFIX, None, SWEEP_CLAIMS)
+            .scan_page(EXPIRY_PREFIX, None, MAX_SWEPT_CLAIMS)
             .await?;
-        let full_page = rows.len() == SWEEP_CLAIMS as usize;
+        let full_page = rows.len() == MAX_SWEPT_CLAIMS as usize;
         let mut request = TransactRequest::default();
         for row in rows {
             let expiry: Expiry = read_value(&row, "a claim's age")?;
             if !claim_expired(expiry.claimed_at_ms, now_ms) {
                 continue;
             }
-            // The age row belongs to this one claim: while it stands, so does the claim, and a
-            // later claim under the same key has another one.
+            // The condition covers only the age row. It exists exactly as long as its claim, and a
+            // later claim with the same key has a different age row.
             request.conditions.push(Condition::Version {
                 key: row.key.clone(),
                 row_version: row.row_version,
@@ -166,22 +173,23 @@
         }
         let deleted = request.conditions.len();
         if deleted == 0 {
-            return Ok(Swept::default());
+            return Ok(SweepResult::default());
         }
         match self.platform.transact(&request).await? {
-            TransactReply::Committed { .. } => Ok(Swept {
+            TransactReply::Committed { .. } => Ok(SweepResult {
                 deleted,
-                more: full_page && deleted == SWEEP_CLAIMS as usize,
+                more: full_page && deleted == MAX_SWEPT_CLAIMS as usize,
             }),
-            // Another router swept the same rows.
-            TransactReply::Conflict { .. } => Ok(Swept {
+            // Another router has deleted some of the same rows.
+            TransactReply::Conflict { .. } => Ok(SweepResult {
                 deleted: 0,
                 more: true,
             }),
         }
     }
 
-    /// Stores a body that is large or no text, and returns its object's name.
+    /// Stores the body of a recorded answer as an object, if it is too large for the row or not
+    /// text. Returns the object's name.
     pub async fn put_body(
         &self,
         claim: &Claim,
@@ -192,14 +200,18 @@
         Ok(name)
     }
 
-    /// Reads a body that was stored.
+    /// Reads a body stored by [`Self::put_body`].
     pub async fn get_body(&self, name: &str) -> Result<Option<bytes::Bytes>, PlatformError> {
         self.platform.get_object(name).await
     }
 
-    /// Whose the row is after a conflict or a lost reply. A missing row is no proof that the
-    /// write will not take effect yet, so it counts as a lost reply.
-    async fn read_back(&self, row_key: &str, own: &Claim) -> Result<ClaimWritten, PlatformError> {
+    /// Determines whose claim the row contains after a conflict or a lost reply. If the row is
+    /// missing, the write may still take effect later, so this counts as a lost reply.
+    async fn read_back(
+        &self,
+        row_key: &str,
+        own: &Claim,
+    ) -> Result<ClaimWriteResult, PlatformError> {
         let Some((row, found)) = self.read(row_key).await? else {
             return Err(PlatformError::ReplyLost {
                 call: String::from("a claim"),
@@ -207,11 +219,11 @@
             });
         };
         if found.claim_id == own.claim_id && found.state == ClaimState::Claimed {
-            return Ok(ClaimWritten::Ours {
+            return Ok(ClaimWriteResult::Acquired {
                 row_version: row.row_version,
             });
         }
-        Ok(ClaimWritten::Found(found))
+        Ok(ClaimWriteResult::Existing(found))
     }
 
     async fn read(&self, row_key: &str) -> Result<Option<(Row, Claim)>, PlatformError> {
@@ -224,7 +236,7 @@
 }
 
 fn row_key(customer: &str, key: &str) -> String {
-    // The whole key, in hex: a hash could let two keys share a claim.
+    // The whole key in hexadecimal: with a hash, two keys could share a claim.
     let hex: String = key.bytes().map(|byte| format!("{byte:02x}")).collect();
     format!("{CLAIM_PREFIX}{customer}/{hex}")
 }
--- a/crates/sapphiretrack-platform/src/client.rs
+++ b/crates/sapphiretrack-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's calls over HTTP, each with a timeout.
+//! Calls to the platform over HTTP, each with a timeout.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,15 +20,15 @@
     GetReply, GetRequest, Row, ScanReply, ScanRequest, TransactReply, TransactRequest, VmList,
 };
 
-/// The largest reply that is read.
+/// Maximum size of a reply, in bytes.
 const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// How the platform is reached.
+/// Address of the platform and timeout of calls to it.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// `http://IP:PORT`, without a slash at the end.
+    /// Base URL: `http://IP:PORT`, without a trailing slash.
     pub url: String,
-    /// How long a call may take.
+    /// Timeout of a call, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Calls the platform; clones share connections and counts.
+/// Client of the platform. Clones share connections and counts.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     settings: Arc<Settings>,
@@ -49,7 +49,7 @@
     counts: Arc<Counts>,
 }
 
-/// Counts of calls, for the budget of the platform.
+/// Number of calls, to check the load on the platform against its budget.
 #[derive(Debug, Default)]
 struct Counts {
     reads: AtomicU64,
@@ -57,9 +57,9 @@
 }
 
 impl PlatformClient {
-    /// A client; it connects when first used.
+    /// Creates a client. Connections are opened on first use.
     pub fn new(settings: Settings) -> Self {
-        // A request that the pool sends again on its own could take effect twice.
+        // An automatic retry by the connection pool could make a request take effect twice.
         let http = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Reads and writes called so far.
+    /// Returns the number of read and write calls so far.
     pub fn calls(&self) -> (u64, u64) {
         (
             self.counts.reads.load(Ordering::Relaxed),
@@ -94,7 +94,7 @@
         self.scan_pages(prefix, None).await
     }
 
-    /// Reads the rows whose keys start with `prefix` and come after a key.
+    /// Reads all rows whose keys start with `prefix` and are greater than `after`.
     pub async fn scan_after(&self, prefix: &str, after: &str) -> Result<Vec<Row>, PlatformError> {
         self.scan_pages(prefix, Some(after)).await
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Reads the first rows after `after` whose keys start with `prefix`.
+    /// Reads the first `limit` rows whose keys start with `prefix` and are greater than `after`.
     pub async fn scan_page(
         &self,
         prefix: &str,
@@ -135,7 +135,7 @@
         Ok(reply.rows)
     }
 
-    /// Writes rows if all conditions hold.
+    /// Runs a transaction: applies all writes if all conditions hold.
     pub async fn transact(
         &self,
         request: &TransactRequest,
@@ -152,7 +152,7 @@
             .map(drop)
     }
 
-    /// Reads an object, if there is one.
+    /// Reads an object. Returns `None` if it does not exist.
     pub async fn get_object(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
         match self
@@ -192,7 +192,7 @@
 
     async fn call(&self, method: &str, path: &str, body: Bytes) -> Result<Bytes, PlatformError> {
         let timeout = Duration::from_millis(self.settings.timeout_ms);
-        match tokio::time::timeout(timeout, self.call_untimed(method, path, body)).await {
+        match tokio::time::timeout(timeout, self.call_without_timeout(method, path, body)).await {
             Ok(result) => result,
             Err(_) => ReplyLostSnafu {
                 call: path,
@@ -202,7 +202,7 @@
         }
     }
 
-    async fn call_untimed(
+    async fn call_without_timeout(
         &self,
         method: &str,
         path: &str,
@@ -244,7 +244,7 @@
             .fail();
         }
         if !status.is_success() {
-            // A server error may come after the write.
+            // A server error may occur after the write has taken effect.
             return ReplyLostSnafu {
                 call: path,
                 reason: format!("status {status}"),
--- a/crates/sapphiretrack-platform/src/configuration.rs
+++ b/crates/sapphiretrack-platform/src/configuration.rs
@@ -1,4 +1,5 @@
-//! The fleet's configuration in the table: changes by compare-and-swap, each with an id.
+//! The fleet's configuration in the platform's table. Changes have an id and are applied by
+//! compare-and-swap.
 
 use std::sync::Arc;
 
@@ -19,59 +20,62 @@
 
 const SNAPSHOT_OBJECT: &str = "config-snapshot";
 
-/// How often a read or a write is tried again when another operator is faster.
-const ATTEMPTS: usize = 8;
-/// Every so many versions the router that made the change writes the snapshot.
-const SNAPSHOT_EVERY: u64 = 32;
+/// Maximum number of attempts of a read or write that concurrent changes interrupt.
+const MAX_ATTEMPTS: usize = 8;
+/// Number of versions between snapshots. The router that applied the change to such a version
+/// writes the snapshot.
+const SNAPSHOT_INTERVAL_VERSIONS: u64 = 32;
 
-/// What came of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeOutcome {
-    /// It holds, from this version on.
+    /// The change was applied.
     Accepted {
-        /// The version.
+        /// Version of the configuration that contains the change first.
         version: u64,
-        /// The configuration at that version, if this call made it.
+        /// The configuration at that version, if this call applied the change.
         config: Option<Arc<FleetConfig>>,
     },
-    /// It was not applied: another operator changed the contract since.
+    /// The change was not applied, because the contract is not at the version that the operator
+    /// saw.
     Refused {
-        /// The version at which the contract stands; 0 if there is none.
+        /// Version of the contract's last change; 0 if there is no contract.
         current_version: u64,
-        /// Who made that change.
+        /// The operator who made that change; empty if there is no contract.
         changed_by: String,
-        /// What differs from the contract that the operator saw, a field each.
+        /// Differences from the contract that the operator saw, one for each field.
         differences: Vec<String>,
     },
 }
 
-/// What a caller of [`ConfigurationStore::apply`] knows of the fleet.
+/// What a caller of [`ConfigurationStore::apply`] knows about the fleet's configuration.
 #[derive(Clone, Debug)]
 pub struct KnownConfig {
-    /// The configuration in force here.
+    /// The configuration in force at the caller.
     pub config: Arc<FleetConfig>,
-    /// The newest version that any router is known to have in force.
+    /// The newest version known to be in force at any router.
     pub newest_version: u64,
 }
 
-/// Reads and changes the configuration.
+/// Store of the configuration in the platform's table.
 #[derive(Clone, Debug)]
 pub struct ConfigurationStore {
     platform: PlatformClient,
 }
 
 impl ConfigurationStore {
-    /// A store on this platform.
+    /// Creates a store on this platform.
     pub fn new(platform: PlatformClient) -> Self {
         Self { platform }
     }
 
-    /// The newest version number: one read.
+    /// Reads the newest version number. Makes one read.
     pub async fn head_version(&self) -> Result<u64, PlatformError> {
         Ok(self.head().await?.1.version)
     }
 
-    /// The whole configuration: the snapshot and what came since, or else all rows.
+    /// Loads the whole configuration: from the snapshot and the changes since, or otherwise from
+    /// all rows.
     pub async fn load(&self) -> Result<FleetConfig, PlatformError> {
         let head = self.head().await?.1;
         if let Ok(Some(snapshot)) = self.load_snapshot().await
@@ -83,7 +87,8 @@
         self.load_rows().await
     }
 
-    /// A configuration brought up to the head: one more read if it is only some changes behind.
+    /// Updates a configuration to the newest version. Makes one read for the head, and one more for
+    /// the history if the changes since are there.
     pub async fn load_since(&self, held: &FleetConfig) -> Result<FleetConfig, PlatformError> {
         let head = self.head().await?.1;
         if head.version <= held.version {
@@ -97,7 +102,8 @@
         self.load().await
     }
 
-    /// Applies a change at most once; the same id gives the same outcome.
+    /// Applies a change at most once. A repeated call with the id of an accepted change returns the
+    /// version of that change.
     pub async fn apply(
         &self,
         change_id: &str,
@@ -107,17 +113,17 @@
         known: &KnownConfig,
     ) -> Result<ChangeOutcome, ApplyError> {
         let mut base = known.config.as_ref().clone();
-        for _ in 0..ATTEMPTS {
+        for _ in 0..MAX_ATTEMPTS {
             if let Some(AcceptedChange { version }) =
                 self.outcome_of(change_id).await.context(NotAppliedSnafu)?
             {
                 let config = None;
                 return Ok(ChangeOutcome::Accepted { version, config });
             }
-            // The head is read before the rows below: if one of them changes in between, the
-            // condition on the head fails.
+            // The head is read before the other rows: if one of them changes in the meantime, the
+            // transaction's condition on the head fails.
             let (head_row, head) = self.head().await.context(NotAppliedSnafu)?;
-            check_not_older(head.version, known.newest_version).context(NotAppliedSnafu)?;
+            check_head_version(head.version, known.newest_version).context(NotAppliedSnafu)?;
             base = self.load_since(&base).await.context(NotAppliedSnafu)?;
             if base.version != head.version {
                 continue;
@@ -147,7 +153,7 @@
                 }
                 Err(source) => match self.outcome_of(change_id).await {
                     Ok(Some(accepted)) if accepted.version == entry.version => true,
-                    // Absence proves nothing: the write may still be on its way.
+                    // If the change is absent, the write may still take effect later.
                     _ => return Err(ApplyError::Unknown { source }),
                 },
             };
@@ -161,7 +167,7 @@
         ChangedWhileReadSnafu.fail().context(NotAppliedSnafu)
     }
 
-    /// What came of the change of this id: none if it was not accepted.
+    /// Looks up an accepted change by its id. Returns `None` if there is none.
     pub async fn outcome_of(
         &self,
         change_id: &str,
@@ -173,7 +179,8 @@
         row.as_ref().map(read_row).transpose()
     }
 
-    /// Like [`Self::outcome_of`], but refuses to call a change absent by an older state.
+    /// Like [`Self::outcome_of`], but returns an error instead of `None` if the platform is at an
+    /// older version than `newest_version`: the change may be missing only because of that.
     pub async fn settled_outcome_of(
         &self,
         change_id: &str,
@@ -181,16 +188,17 @@
     ) -> Result<Option<AcceptedChange>, PlatformError> {
         let found = self.outcome_of(change_id).await?;
         if found.is_none() {
-            check_not_older(self.head().await?.1.version, newest_version)?;
+            check_head_version(self.head().await?.1.version, newest_version)?;
         }
         Ok(found)
     }
 
-    /// Writes back what a router holds if the platform has gone back to an older state.
+    /// Writes back the configuration that a router holds if the platform was restored to an older
+    /// state.
     ///
-    /// Returns the configuration under its new version, or none if there is nothing to write back
-    /// or another router was faster. A read that is only late does no harm: the condition on the
-    /// head row fails then.
+    /// Returns the configuration with its new version, or `None` if there is nothing to write back
+    /// or another router was faster. An outdated read is harmless, because the condition on the
+    /// head row then fails.
     pub async fn republish(
         &self,
         held: &FleetConfig,
@@ -211,9 +219,9 @@
         }
     }
 
-    /// Writes the snapshot, if one is due at this version.
-    pub async fn keep_snapshot(&self, config: &FleetConfig) -> Result<(), PlatformError> {
-        if !config.version.is_multiple_of(SNAPSHOT_EVERY) {
+    /// Writes the snapshot if one is due at this version.
+    pub async fn write_snapshot_if_due(&self, config: &FleetConfig) -> Result<(), PlatformError> {
+        if !config.version.is_multiple_of(SNAPSHOT_INTERVAL_VERSIONS) {
             return Ok(());
         }
         self.write_snapshot(config).await
@@ -225,7 +233,7 @@
         self.platform.put_object(SNAPSHOT_OBJECT, body).await
     }
 
-    /// A customer's contract with the version that last changed it.
+    /// Reads a customer's contract and the version that last changed it.
     pub async fn contract(
         &self,
         customer: &str,
@@ -234,7 +242,7 @@
         Ok(row.map(|row| (row.version, row.contract)))
     }
 
-    /// A customer's contract as it stood at a version, with the version that had set it.
+    /// Reads a customer's contract as of `version`, and the version that had set it.
     pub async fn contract_at(
         &self,
         customer: &str,
@@ -245,13 +253,13 @@
             let Change::Contract { contract, .. } = entry.change else {
                 return None;
             };
-            let fits = entry.version <= version && contract.customer == customer;
-            fits.then(|| (entry.version, Arc::new(*contract)))
+            let is_match = entry.version <= version && contract.customer == customer;
+            is_match.then(|| (entry.version, Arc::new(*contract)))
         });
         Ok(found)
     }
 
-    /// All changes, the oldest first.
+    /// Reads all changes, the oldest first.
     pub async fn history(&self) -> Result<Vec<HistoryEntry>, PlatformError> {
         self.platform
             .scan(HISTORY_PREFIX)
@@ -272,7 +280,8 @@
         object.as_deref().map(decode_snapshot).transpose()
     }
 
-    /// Brings a configuration up to at least a version by the history; none if that has a gap.
+    /// Updates a configuration to at least `version` by the history. Returns `None` if the
+    /// configuration has no known last change or the history does not continue from it.
     async fn replay(
         &self,
         from: &FleetConfig,
@@ -287,7 +296,7 @@
         for row in &rows {
             entries.push(Arc::new(read_row::<HistoryEntry>(row)?));
         }
-        // A restored platform may have given this version to another change.
+        // A restored platform may have assigned this version to another change.
         let Some((first, newer)) = entries.split_first() else {
             return Ok(None);
         };
@@ -298,9 +307,9 @@
         Ok(config.filter(|config| config.version >= version))
     }
 
-    /// All rows, as they stood at one moment.
+    /// Loads the configuration from a consistent read of all rows.
     async fn load_rows(&self) -> Result<FleetConfig, PlatformError> {
-        for _ in 0..ATTEMPTS {
+        for _ in 0..MAX_ATTEMPTS {
             let before = self.head().await?.1;
             let contracts = self.platform.scan(CONTRACT_PREFIX).await?;
             let draining = self.platform.scan(DRAIN_PREFIX).await?;
@@ -322,8 +331,8 @@
             if let Some(row) = &last {
                 config.recent.push_back(Arc::new(read_row(row)?));
             }
-            let names = draining.iter();
-            config.draining = names
+            let rows = draining.iter();
+            config.draining = rows
                 .map(|row| row.key[DRAIN_PREFIX.len()..].to_owned())
                 .collect();
             return Ok(config);
@@ -378,8 +387,8 @@
     }
 }
 
-/// Refuses to work on a platform that has gone back behind what routers hold.
-fn check_not_older(head_version: u64, newest_version: u64) -> Result<(), PlatformError> {
+/// Returns an error if the platform was restored to an older version than routers hold.
+fn check_head_version(head_version: u64, newest_version: u64) -> Result<(), PlatformError> {
     ensure!(
         head_version >= newest_version,
         OlderStateSnafu {
--- a/crates/sapphiretrack-platform/src/goals.rs
+++ b/crates/sapphiretrack-platform/src/goals.rs
@@ -1,4 +1,5 @@
-//! The desired state of engines in the table, and which pools' engines check fencing numbers.
+//! The desired states of engines in the platform's table, and which pools' engines check fencing
+//! numbers.
 
 use std::collections::BTreeMap;
 
@@ -13,28 +14,29 @@
 const GOAL_PREFIX: &str = "engine/goal/";
 const CHECK_PREFIX: &str = "engine/check/";
 
-/// What operators want of the engines.
+/// What operators have set for engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineGoals {
-    /// The desired state by server name.
+    /// The desired state of each engine, by server name.
     pub goals: BTreeMap<String, EngineGoal>,
-    /// Whether engines check the fencing number, by pool; they ignore it if nothing is said.
+    /// Whether engines check fencing numbers, by pool. Engines of a pool without an entry ignore
+    /// them.
     pub checks: BTreeMap<String, FencingCheck>,
 }
 
-/// Reads and sets the desired state of engines.
+/// Store of the desired states of engines in the platform's table.
 #[derive(Clone, Debug)]
 pub struct GoalStore {
     platform: PlatformClient,
 }
 
 impl GoalStore {
-    /// A store on this platform.
+    /// Creates a store on this platform.
     pub fn new(platform: PlatformClient) -> Self {
         Self { platform }
     }
 
-    /// Reads all: two reads.
+    /// Reads all desired states and fencing checks. Makes two scans.
     pub async fn load(&self) -> Result<EngineGoals, PlatformError> {
         let mut all = EngineGoals::default();
         for row in self.platform.scan(GOAL_PREFIX).await? {
@@ -52,12 +54,12 @@
         Ok(all)
     }
 
-    /// Sets the desired state of a server; repeating it does no harm.
+    /// Sets the desired state of a server. The call is idempotent.
     pub async fn set_goal(&self, server: &str, goal: &EngineGoal) -> Result<(), PlatformError> {
         self.put(format!("{GOAL_PREFIX}{server}"), goal).await
     }
 
-    /// Says whether the engines of a pool check fencing numbers.
+    /// Sets whether the engines of a pool check fencing numbers.
     pub async fn set_check(&self, pool: &str, check: FencingCheck) -> Result<(), PlatformError> {
         self.put(format!("{CHECK_PREFIX}{pool}"), &check).await
     }
--- a/crates/sapphiretrack-platform/src/leases.rs
+++ b/crates/sapphiretrack-platform/src/leases.rs
@@ -1,4 +1,4 @@
-//! Leases in the table: one row each, written by compare-and-swap.
+//! Leases in the platform's table: one row for each lease, written by compare-and-swap.
 
 use sapphiretrack_core::LeaseRow;
 use snafu::ResultExt;
@@ -9,24 +9,24 @@
 
 const LEASE_PREFIX: &str = "lease/";
 
-/// A lease's row as the table has it.
+/// A lease's row as read from the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StoredLease {
-    /// The lease; none before the first holder.
+    /// The lease; `None` before the first holder.
     pub row: Option<LeaseRow>,
     row_version: Option<u64>,
 }
 
-/// What came of writing a lease's row.
+/// Result of writing a lease's row.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LeaseWritten {
-    /// The row is as it was written.
-    Ours,
-    /// The row had changed; nothing was written.
-    Lost,
+pub enum LeaseWriteResult {
+    /// The row contains the written value.
+    Written,
+    /// The row had changed since it was read, and nothing was written.
+    Conflict,
 }
 
-/// Reads and writes the row of one lease.
+/// Store of one lease in the platform's table.
 #[derive(Clone, Debug)]
 pub struct LeaseStore {
     platform: PlatformClient,
@@ -34,7 +34,7 @@
 }
 
 impl LeaseStore {
-    /// The store of the lease of this name.
+    /// Creates the store of the lease with this name.
     pub fn new(platform: PlatformClient, name: &str) -> Self {
         Self {
             platform,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Reads the row: one read.
+    /// Reads the row. Makes one read.
     pub async fn read(&self) -> Result<StoredLease, PlatformError> {
         let Some(stored) = self.platform.get(&self.key).await? else {
             return Ok(StoredLease::default());
@@ -53,15 +53,16 @@
         })
     }
 
-    /// Writes the row, if it is still as it was read.
+    /// Writes the row if it has not changed since `seen` was read.
     ///
-    /// A lost reply is settled by reading back. If that fails too, or the row is still the old
-    /// one, the write may yet take effect: the lease is not held.
+    /// After a lost reply, the row is read back. If that fails too, or the row is unchanged, the
+    /// write may still take effect later; the call returns an error, and the lease counts as not
+    /// held.
     pub async fn write(
         &self,
         seen: &StoredLease,
         row: &LeaseRow,
-    ) -> Result<LeaseWritten, PlatformError> {
+    ) -> Result<LeaseWriteResult, PlatformError> {
         let key = self.key.clone();
         let condition = match seen.row_version {
             Some(row_version) => Condition::Version { key, row_version },
@@ -76,8 +77,8 @@
             }],
         };
         match self.platform.transact(&request).await {
-            Ok(TransactReply::Committed { .. }) => Ok(LeaseWritten::Ours),
-            Ok(TransactReply::Conflict { .. }) => Ok(LeaseWritten::Lost),
+            Ok(TransactReply::Committed { .. }) => Ok(LeaseWriteResult::Written),
+            Ok(TransactReply::Conflict { .. }) => Ok(LeaseWriteResult::Conflict),
             Err(PlatformError::ReplyLost { .. }) => self.read_back(seen, row).await,
             Err(error) => Err(error),
         }
@@ -87,13 +88,13 @@
         &self,
         seen: &StoredLease,
         row: &LeaseRow,
-    ) -> Result<LeaseWritten, PlatformError> {
+    ) -> Result<LeaseWriteResult, PlatformError> {
         let found = self.read().await?;
         if found.row.as_ref() == Some(row) {
-            return Ok(LeaseWritten::Ours);
+            return Ok(LeaseWriteResult::Written);
         }
         if found.row_version != seen.row_version {
-            return Ok(LeaseWritten::Lost);
+            return Ok(LeaseWriteResult::Conflict);
         }
         ReplyLostSnafu {
             call: "a lease",
--- a/crates/sapphiretrack-platform/src/lib.rs
+++ b/crates/sapphiretrack-platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! Client of the platform: transactional table, object store and list of VMs.
 //!
-//! The messages are the platform's published protocol: JSON over HTTP.
+//! The messages follow the platform's published protocol: JSON over HTTP.
 
 mod claims;
 mod client;
@@ -14,11 +14,11 @@
 mod warm;
 pub mod wire;
 
-pub use claims::{ClaimStore, ClaimWritten, Swept};
+pub use claims::{ClaimStore, ClaimWriteResult, SweepResult};
 pub use client::{PlatformClient, Settings};
 pub use configuration::{ChangeOutcome, ConfigurationStore, KnownConfig};
 pub use error::{ApplyError, PlatformError};
 pub use goals::{EngineGoals, GoalStore};
-pub use leases::{LeaseStore, LeaseWritten, StoredLease};
+pub use leases::{LeaseStore, LeaseWriteResult, StoredLease};
 pub use rows::AcceptedChange;
 pub use warm::{WarmPart, WarmSnapshot, WarmStore};
--- a/crates/sapphiretrack-platform/src/rows.rs
+++ b/crates/sapphiretrack-platform/src/rows.rs
@@ -1,4 +1,4 @@
-//! The rows in which the platform's table keeps the configuration.
+//! Keys and values of the table rows that contain the configuration.
 
 use std::sync::Arc;
 
@@ -15,14 +15,14 @@
 pub(crate) const CHANGE_PREFIX: &str = "config/change/";
 pub(crate) const HISTORY_PREFIX: &str = "config/history/";
 
-/// An accepted change, as recorded under its id.
+/// Value of the row that records an accepted change under its id.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AcceptedChange {
-    /// The configuration version that it made.
+    /// Version of the configuration that the change created.
     pub version: u64,
 }
 
-/// A contract row.
+/// Value of a contract's row.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ContractRow {
     pub(crate) version: u64,
@@ -30,18 +30,18 @@
     pub(crate) contract: Arc<Contract>,
 }
 
-/// The head row.
+/// Value of the head row, which contains the newest version.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct Head {
     pub(crate) version: u64,
 }
 
-/// The key of a line of the history.
+/// Returns the key of a version's history entry. Zero padding sorts the keys by version.
 pub(crate) fn history_key(version: u64) -> String {
     format!("{HISTORY_PREFIX}{version:020}")
 }
 
-/// Reads a row's value.
+/// Decodes a row's value.
 pub(crate) fn read_row<Value>(row: &Row) -> Result<Value, PlatformError>
 where
     Value: for<'a> Deserialize<'a>,
--- a/crates/sapphiretrack-platform/src/snapshot.rs
+++ b/crates/sapphiretrack-platform/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole configuration as one object, with its version and a checksum.
+//! Snapshots: the whole configuration as one object, with its version and a checksum.
 
 use bytes::Bytes;
 use sapphiretrack_core::{FleetConfig, sha256_hex};
@@ -7,14 +7,15 @@
 
 use crate::error::{BadSnapshotSnafu, PlatformError, UnreadableSnafu};
 
-/// The first line of the object.
+/// The first line of a snapshot.
 #[derive(Debug, Deserialize, Serialize)]
 struct SnapshotHeader {
     version: u64,
     sha256: String,
 }
 
-/// Encodes a configuration: a line with version and checksum, then the configuration as JSON.
+/// Encodes a configuration: a header line with version and checksum, then the configuration as
+/// JSON.
 pub(crate) fn encode_snapshot(config: &FleetConfig) -> Result<Bytes, PlatformError> {
     let what = "the snapshot";
     let body = serde_json::to_string(config).context(UnreadableSnafu { what })?;
@@ -26,7 +27,8 @@
     Ok(Bytes::from(format!("{header}\n{body}")))
 }
 
-/// Decodes a snapshot; one that is cut, mixed or not what its header says is refused.
+/// Decodes a snapshot. Returns an error if it is truncated or corrupted, or if it does not match
+/// its header.
 pub(crate) fn decode_snapshot(bytes: &[u8]) -> Result<FleetConfig, PlatformError> {
     let what = "the snapshot";
     let text = std::str::from_utf8(bytes).ok();
--- a/crates/sapphiretrack-platform/src/transaction.rs
+++ b/crates/sapphiretrack-platform/src/transaction.rs
@@ -1,4 +1,4 @@
-//! The transactions that change the configuration's rows.
+//! Transactions that change the configuration's rows.
 
 use std::sync::Arc;
 
@@ -13,7 +13,8 @@
 };
 use crate::wire::{Condition, Row, TransactRequest, Write};
 
-/// The writes of one change, if the head is still the one that was read.
+/// Creates the transaction of one change, on the condition that the head row is unchanged and the
+/// change id is not used yet.
 pub(crate) fn change_transaction(
     head_row: Option<&Row>,
     entry: &HistoryEntry,
@@ -48,7 +49,8 @@
     })
 }
 
-/// The writes that bring the rows to what a router holds, under a new version.
+/// Creates the transaction that sets the rows to the configuration that a router holds, under a new
+/// version.
 pub(crate) fn republish_transaction(
     head_row: Option<&Row>,
     contracts: &[Row],
@@ -92,7 +94,8 @@
     Ok((next, request))
 }
 
-/// Sets the contracts that differ from the rows, and removes rows that nobody holds.
+/// Returns the writes that set contracts which differ from their rows and delete rows of customers
+/// without a contract in `held`.
 fn contract_writes(rows: &[Row], held: &FleetConfig) -> Result<Vec<Write>, PlatformError> {
     let mut writes = Vec::new();
     let mut unchanged: Vec<String> = Vec::new();
@@ -107,7 +110,7 @@
             }),
         }
     }
-    // The rows come by key, so this list is sorted.
+    // The rows are ordered by key, so `unchanged` is sorted.
     let changed = held
         .contracts
         .iter()
@@ -119,7 +122,8 @@
     Ok(writes)
 }
 
-/// Version and operator of a customer's last change; the held version if it is too long ago.
+/// Returns the version and operator of the last change to a customer's contract, or the held
+/// version if `held` no longer contains that change.
 fn last_change_of(held: &FleetConfig, customer: &str) -> (u64, String) {
     let last = held.recent.iter().rev().find(|entry| {
         matches!(&entry.change, Change::Contract { contract, .. } if contract.customer == customer)
@@ -150,7 +154,7 @@
     put(HEAD_KEY.to_owned(), &Head { version })
 }
 
-/// A change under its id, and its line in the history.
+/// Returns the writes that record a change under its id and in the history.
 fn put_record(entry: &HistoryEntry) -> Result<[Write; 2], PlatformError> {
     let accepted = AcceptedChange {
         version: entry.version,
--- a/crates/sapphiretrack-platform/src/warm.rs
+++ b/crates/sapphiretrack-platform/src/warm.rs
@@ -1,4 +1,4 @@
-//! Snapshots of routers' placement memories as objects: two small ones a router.
+//! Snapshots of the routers' placement memories: two small objects for each router.
 
 use bincode::Options;
 use bytes::Bytes;
@@ -9,26 +9,27 @@
 use crate::PlatformClient;
 use crate::error::{BadWarmSnapshotSnafu, NoWarmSnapshotSnafu, PlatformError, UnreadableSnafu};
 
-/// The form of the objects; another one is not read.
+/// Format version of the objects. Other versions are not read.
 const FORMAT: u32 = 1;
-/// The largest object that is read.
+/// Maximum size of an object, in bytes.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
 
-/// Which of a router's two objects.
+/// One of a router's two objects.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WarmPart {
-    /// All that is worth keeping, written now and then.
+    /// All entries worth keeping, written occasionally.
     Base,
-    /// What was noted since the base.
+    /// The entries recorded since the base was written.
     Recent,
 }
 
-/// What a router knew when it wrote a snapshot.
+/// The placement memory of a router when it wrote the snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WarmSnapshot {
-    /// By the writer's wall clock; ages in the list are of this time.
+    /// Time of the snapshot by the writer's wall clock, in milliseconds. The ages in the list are
+    /// relative to it.
     pub written_at_ms: u64,
-    /// Where chats are warm.
+    /// The servers on which chats are warm.
     pub list: WarmList,
 }
 
@@ -41,14 +42,14 @@
     checksum: u64,
 }
 
-/// Writes and reads snapshots.
+/// Store of snapshots in the platform's object store.
 #[derive(Clone, Debug)]
 pub struct WarmStore {
     platform: PlatformClient,
 }
 
 impl WarmStore {
-    /// A store on this platform.
+    /// Creates a store on this platform.
     pub fn new(platform: PlatformClient) -> Self {
         Self { platform }
     }
@@ -65,8 +66,8 @@
         self.platform.put_object(&name, object).await
     }
 
-    /// Reads one of a router's objects; one that is missing, damaged, another router's or of
-    /// another form is an error that says so.
+    /// Reads one of a router's objects. Returns an error that states the problem if it is missing
+    /// or corrupted, belongs to another router or has another format.
     pub async fn read(
         &self,
         router: RouterId,
--- a/crates/sapphiretrack-platform/src/wire.rs
+++ b/crates/sapphiretrack-platform/src/wire.rs
@@ -1,4 +1,4 @@
-//! The platform's messages.
+//! Messages of the platform's protocol.
 
 use sapphiretrack_core::VmRecord;
 use serde::{Deserialize, Serialize};
@@ -10,15 +10,15 @@
     pub key: String,
     /// The value, as text.
     pub value: String,
-    /// Rises with each write to the row, and never goes back even if it is deleted.
+    /// Increases with each write to the row and never decreases, even if the row is deleted.
     pub row_version: u64,
 }
 
-/// What must hold for a transaction to take effect.
+/// A condition for a transaction to take effect.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
-    /// There is no row of this key.
+    /// There is no row with this key.
     Absent {
         /// The key.
         key: String,
@@ -50,7 +50,8 @@
     },
 }
 
-/// All writes take effect if all conditions hold, else none.
+/// Runs a transaction: `POST /table/transact`. All writes take effect if all conditions hold,
+/// otherwise none does.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TransactRequest {
     /// The conditions.
@@ -59,13 +60,13 @@
     pub writes: Vec<Write>,
 }
 
-/// What came of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransactReply {
-    /// It took effect.
+    /// The transaction took effect.
     Committed {
-        /// The version that the written rows have now.
+        /// The new version of the written rows.
         row_version: u64,
     },
     /// A condition did not hold.
@@ -82,33 +83,33 @@
     pub key: String,
 }
 
-/// The row, if there is one.
+/// The reply to a read of one row.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GetReply {
-    /// The row.
+    /// The row; `None` if it does not exist.
     pub row: Option<Row>,
 }
 
-/// Reads rows in the order of their keys: `POST /table/scan`.
+/// Reads rows ordered by key: `POST /table/scan`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ScanRequest {
-    /// The start of the keys.
+    /// Prefix of the keys to read.
     pub prefix: String,
-    /// Rows up to this key are left out.
+    /// Only rows with a greater key are returned.
     #[serde(default)]
     pub after: Option<String>,
-    /// The largest number of rows in the reply.
+    /// Maximum number of rows in the reply.
     pub limit: u32,
 }
 
-/// The rows.
+/// The reply to a scan.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ScanReply {
-    /// The rows, by key.
+    /// The rows, ordered by key.
     pub rows: Vec<Row>,
 }
 
-/// The lagging list of VMs: `GET /vms`.
+/// The list of VMs: `GET /vms`. It may lag behind the actual state.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct VmList {
     /// Live and leaving VMs.
--- a/crates/sapphiretrack-platform/tests/claims.rs
+++ b/crates/sapphiretrack-platform/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The claim store against a platform that loses requests and replies: at most one run a key.
+//! The claim store on a platform that loses requests and replies: a key runs at most once.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
     decide_claim,
 };
 use sapphiretrack_fakes::{FakePlatform, PlatformFaults, PlatformSettings};
-use sapphiretrack_platform::{ClaimStore, ClaimWritten, PlatformClient, Settings};
+use sapphiretrack_platform::{ClaimStore, ClaimWriteResult, PlatformClient, Settings};
 use tokio::runtime::Runtime;
 
 const CUSTOMER: &str = "teranga";
 const HASH: u64 = 7;
 
-/// One step of one of several routers.
+/// One step of any of several routers.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request comes in, with the platform's next transaction as it will be.
-    Come { key: u8, fault: Fault },
-    /// A router that holds a claim sends.
+    /// A request arrives, and its router writes a claim under this fault of the platform.
+    Arrive { key: u8, fault: Fault },
+    /// A router that holds a claim sends the request to a server.
     Send { key: u8 },
-    /// A router that holds a claim and has not sent gives up.
+    /// Claims whose requests were not sent are withdrawn.
     Withdraw { key: u8, fault: Fault },
-    /// A router that sent has the answer.
+    /// A router that sent the request records the answer.
     Finish { key: u8, fault: Fault },
-    /// The holder is killed.
+    /// The routers that hold a claim of the key are killed.
     Kill { key: u8 },
 }
 
@@ -38,10 +38,10 @@
     ReplyLost,
 }
 
-struct Machine;
+struct ClaimMachine;
 
-/// No model state: all invariants are about the store itself.
-impl ReferenceStateMachine for Machine {
+/// There is no model state: all invariants concern the store itself.
+impl ReferenceStateMachine for ClaimMachine {
     type State = ();
     type Transition = Step;
 
@@ -57,7 +57,7 @@
         ];
         let key = 0..2_u8;
         prop_oneof![
-            4 => (key.clone(), fault.clone()).prop_map(|(key, fault)| Step::Come { key, fault }),
+            4 => (key.clone(), fault.clone()).prop_map(|(key, fault)| Step::Arrive { key, fault }),
             2 => key.clone().prop_map(|key| Step::Send { key }),
             1 => (key.clone(), fault.clone()).prop_map(|(key, fault)| Step::Withdraw { key, fault }),
             2 => (key.clone(), fault).prop_map(|(key, fault)| Step::Finish { key, fault }),
@@ -78,7 +78,7 @@
     sent: bool,
 }
 
-struct Stores {
+struct TestState {
     runtime: Runtime,
     platform: FakePlatform,
     store: ClaimStore,
@@ -88,7 +88,7 @@
     runs: BTreeMap<u8, u32>,
 }
 
-impl Stores {
+impl TestState {
     fn call<Value>(&self, fault: Fault, work: impl Future<Output = Value>) -> Value {
         self.platform.set_faults(PlatformFaults {
             lose_requests: u32::from(matches!(fault, Fault::RequestLost)),
@@ -100,42 +100,43 @@
         value
     }
 
-    fn come(&mut self, key: u8, fault: Fault) {
+    fn arrive(&mut self, key: u8, fault: Fault) {
         self.next_claim += 1;
         let claim = claim(self.next_claim, 1);
         let written = self.call(fault, self.store.write(CUSTOMER, &key.to_string(), &claim));
         let ran = self.runs.get(&key).copied().unwrap_or(0);
         match written {
-            Ok(ClaimWritten::Ours { row_version }) => {
+            Ok(ClaimWriteResult::Acquired { row_version }) => {
                 self.holders.entry(key).or_default().push(Holder {
                     claim,
                     row_version,
                     sent: false,
                 });
             }
-            Ok(ClaimWritten::Found(found)) => {
+            Ok(ClaimWriteResult::Existing(found)) => {
                 let decision = decide_claim(&found, &claim.claim_id, HASH);
                 assert_ne!(
                     decision,
                     ClaimDecision::Send,
-                    "another's claim is no leave to send"
+                    "another router's claim does not permit sending"
                 );
                 if matches!(decision, ClaimDecision::Replay(_)) {
-                    assert_eq!(ran, 1, "an answer is recorded of a request that ran");
+                    assert_eq!(ran, 1, "an answer is recorded only for a request that ran");
                 }
             }
-            // Not settled: the router says that it did not run, sends nothing, and withdraws.
+            // The write has an unknown result. The router reports that the request did not run,
+            // does not send it and withdraws the claim later.
             Err(_) => self.unsettled.entry(key).or_default().push(claim),
         }
     }
 
-    fn with_holder(&mut self, key: u8, sent: bool) -> Option<Holder> {
+    fn take_holder(&mut self, key: u8, sent: bool) -> Option<Holder> {
         let holders = self.holders.get_mut(&key)?;
         let index = holders.iter().position(|holder| holder.sent == sent)?;
         Some(holders.remove(index))
     }
 
-    fn keep(&mut self, key: u8, holder: Holder) {
+    fn add_holder(&mut self, key: u8, holder: Holder) {
         self.holders.entry(key).or_default().push(holder);
     }
 }
@@ -160,17 +161,17 @@
     }
 }
 
-impl StateMachineTest for Machine {
-    type SystemUnderTest = Stores;
-    type Reference = Machine;
+impl StateMachineTest for ClaimMachine {
+    type SystemUnderTest = TestState;
+    type Reference = ClaimMachine;
 
-    fn init_test(_state: &()) -> Stores {
+    fn init_test(_state: &()) -> TestState {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .expect("a runtime");
         let (platform, store) = runtime.block_on(start());
-        Stores {
+        TestState {
             runtime,
             platform,
             store,
@@ -181,13 +182,13 @@
         }
     }
 
-    fn apply(mut stores: Stores, _state: &(), step: Step) -> Stores {
+    fn apply(mut system: TestState, _state: &(), step: Step) -> TestState {
         match step {
-            Step::Come { key, fault } => stores.come(key, fault),
+            Step::Arrive { key, fault } => system.arrive(key, fault),
             Step::Send { key } => {
-                if let Some(holder) = stores.with_holder(key, false) {
-                    *stores.runs.entry(key).or_default() += 1;
-                    stores.keep(
+                if let Some(holder) = system.take_holder(key, false) {
+                    *system.runs.entry(key).or_default() += 1;
+                    system.add_holder(
                         key,
                         Holder {
                             sent: true,
@@ -197,35 +198,35 @@
                 }
             }
             Step::Withdraw { key, fault } => {
-                let unsettled = stores.unsettled.get_mut(&key).and_then(Vec::pop);
-                let held = stores.with_holder(key, false).map(|holder| holder.claim);
+                let unsettled = system.unsettled.get_mut(&key).and_then(Vec::pop);
+                let held = system.take_holder(key, false).map(|holder| holder.claim);
                 for claim in unsettled.into_iter().chain(held) {
                     let name = key.to_string();
-                    let work = stores.store.withdraw(CUSTOMER, &name, &claim);
-                    drop(stores.call(fault, work));
+                    let work = system.store.withdraw(CUSTOMER, &name, &claim);
+                    drop(system.call(fault, work));
                 }
             }
             Step::Finish { key, fault } => {
-                if let Some(holder) = stores.with_holder(key, true) {
+                if let Some(holder) = system.take_holder(key, true) {
                     let (name, done) = (key.to_string(), finished(&holder.claim));
-                    let store = &stores.store;
+                    let store = &system.store;
                     let work = store.finish(CUSTOMER, &name, holder.row_version, &done);
-                    match stores.call(fault, work) {
-                        Ok(recorded) => assert!(recorded, "nobody else may touch the claim"),
-                        Err(_) => stores.keep(key, holder),
+                    match system.call(fault, work) {
+                        Ok(recorded) => assert!(recorded, "no other router may change the claim"),
+                        Err(_) => system.add_holder(key, holder),
                     }
                 }
             }
-            Step::Kill { key } => drop(stores.holders.remove(&key)),
+            Step::Kill { key } => drop(system.holders.remove(&key)),
         }
-        stores
+        system
     }
 
-    fn check_invariants(stores: &Stores, _state: &()) {
+    fn check_invariants(system: &TestState, _state: &()) {
         assert!(
-            stores.runs.values().all(|runs| *runs <= 1),
+            system.runs.values().all(|runs| *runs <= 1),
             "{:?}",
-            stores.runs
+            system.runs
         );
     }
 }
@@ -234,13 +235,13 @@
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, rng_seed: RngSeed::Fixed(6), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_key_runs_twice_whatever_the_platform_loses(sequential 1..40 => Machine);
+    fn no_key_runs_twice_whatever_the_platform_loses(sequential 1..40 => ClaimMachine);
 }
 
 async fn start() -> (FakePlatform, ClaimStore) {
     let platform = FakePlatform::start(PlatformSettings::default())
         .await
-        .expect("the stand-in starts");
+        .expect("the fake platform starts");
     let client = PlatformClient::new(Settings {
         url: platform.url(),
         ..Settings::default()
@@ -249,15 +250,15 @@
 }
 
 #[tokio::test]
-async fn a_sweep_deletes_what_is_past_its_retention_and_nothing_else() {
+async fn a_sweep_deletes_only_claims_past_their_retention() {
     let (platform, store) = start().await;
     for number in 0..120 {
-        // Every third claim is young.
+        // Every third claim is recent.
         let at = if number % 3 == 0 { 500_000 } else { number };
         let written = store
             .write(CUSTOMER, &number.to_string(), &claim(number, at))
             .await;
-        assert!(matches!(written, Ok(ClaimWritten::Ours { .. })));
+        assert!(matches!(written, Ok(ClaimWriteResult::Acquired { .. })));
     }
     let now_ms = CLAIM_RETENTION_MS + 400_000;
     let mut deleted = Vec::new();
@@ -268,13 +269,19 @@
             break;
         }
     }
-    assert_eq!(deleted, [50, 30], "one transaction a page");
+    assert_eq!(deleted, [50, 30], "one transaction for each page");
     let rows = platform.rows();
-    assert_eq!(rows.len(), 80, "40 young claims with their age rows");
+    assert_eq!(rows.len(), 80, "40 recent claims with their age rows");
     let repeat = store.write(CUSTOMER, "3", &claim(1_000, 500_001)).await;
-    assert!(matches!(repeat, Ok(ClaimWritten::Found(_))), "{repeat:?}");
+    assert!(
+        matches!(repeat, Ok(ClaimWriteResult::Existing(_))),
+        "{repeat:?}"
+    );
     let again = store.write(CUSTOMER, "1", &claim(1_001, 500_001)).await;
-    assert!(matches!(again, Ok(ClaimWritten::Ours { .. })), "{again:?}");
+    assert!(
+        matches!(again, Ok(ClaimWriteResult::Acquired { .. })),
+        "{again:?}"
+    );
 }
 
 #[tokio::test]
@@ -282,29 +289,35 @@
     let (platform, store) = start().await;
     let old = claim(1, 10);
     store.write(CUSTOMER, "key", &old).await.expect("written");
-    assert_eq!(platform.rows().len(), 2, "the claim and its age");
+    assert_eq!(platform.rows().len(), 2, "the claim and its age row");
     assert!(
         store
             .withdraw(CUSTOMER, "key", &old)
             .await
             .expect("withdrawn")
     );
-    let young = claim(2, 500_000);
-    store.write(CUSTOMER, "key", &young).await.expect("written");
+    let recent = claim(2, 500_000);
+    store
+        .write(CUSTOMER, "key", &recent)
+        .await
+        .expect("written");
     let swept = store
         .sweep(CLAIM_RETENTION_MS + 100)
         .await
         .expect("a sweep");
     assert_eq!(swept.deleted, 0);
     let repeat = store.write(CUSTOMER, "key", &claim(3, 500_001)).await;
-    assert_eq!(repeat.expect("read"), ClaimWritten::Found(young));
+    assert_eq!(repeat.expect("read"), ClaimWriteResult::Existing(recent));
 }
 
 #[tokio::test]
-async fn keys_that_differ_share_no_claim() {
+async fn different_keys_do_not_share_a_claim() {
     let (_platform, store) = start().await;
     for (number, key) in ["a", "A", "a ", "a/b", "%61", "ä"].into_iter().enumerate() {
         let written = store.write(CUSTOMER, key, &claim(number as u64, 1)).await;
-        assert!(matches!(written, Ok(ClaimWritten::Ours { .. })), "{key:?}");
+        assert!(
+            matches!(written, Ok(ClaimWriteResult::Acquired { .. })),
+            "{key:?}"
+        );
     }
 }
--- a/crates/sapphiretrack-platform/tests/warm.rs
+++ b/crates/sapphiretrack-platform/tests/warm.rs
@@ -1,4 +1,4 @@
-//! Snapshots of placement memories: what is not whole is told apart, and never taken in.
+//! Snapshots of placement memories: invalid ones are rejected, each with its own error.
 
 use bytes::Bytes;
 use sapphiretrack_core::{ChatKey, RouterId, ServerId, WarmHint, WarmList};
@@ -15,7 +15,9 @@
         writes_per_s: u32::MAX,
         ..PlatformSettings::default()
     };
-    let fake = FakePlatform::start(settings).await.expect("it starts");
+    let fake = FakePlatform::start(settings)
+        .await
+        .expect("the fake platform starts");
     let client = PlatformClient::new(Settings {
         url: fake.url(),
         ..Settings::default()
@@ -44,10 +46,10 @@
     store.read(RouterId(7), WarmPart::Base).await
 }
 
-/// What is said of an object in the place of the snapshot.
-async fn problem(client: &PlatformClient, object: Vec<u8>) -> &'static str {
+/// Stores an object in place of the snapshot and returns the problem that reading it reports.
+async fn problem_of(client: &PlatformClient, object: Vec<u8>) -> &'static str {
     let put = client.put_object(NAME, Bytes::from(object)).await;
-    put.expect("it is stored");
+    put.expect("the object is stored");
     match read(client).await {
         Err(PlatformError::BadWarmSnapshot { problem }) => problem,
         other => panic!("{other:?}"),
@@ -55,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_snapshot_is_read_as_it_was_written_and_small() {
+async fn a_snapshot_is_read_as_written_and_is_small() {
     let (_fake, client) = platform().await;
     assert!(matches!(
         read(&client).await,
@@ -63,51 +65,60 @@
     ));
     let store = WarmStore::new(client.clone());
     let written = snapshot(10_000);
-    let done = store.write(RouterId(7), WarmPart::Base, &written).await;
-    done.expect("it is written");
-    assert_eq!(read(&client).await.expect("it is whole"), written);
+    let result = store.write(RouterId(7), WarmPart::Base, &written).await;
+    result.expect("the snapshot is written");
+    assert_eq!(read(&client).await.expect("the snapshot is valid"), written);
     let object = client.get_object(NAME).await.expect("a reply");
-    let bytes = object.expect("it is there").len();
+    let bytes = object.expect("the object exists").len();
     assert!(bytes < 170_000, "{bytes} bytes");
 }
 
 #[tokio::test]
-async fn a_snapshot_with_any_byte_changed_or_missing_is_refused() {
+async fn a_snapshot_with_any_changed_or_missing_byte_is_rejected() {
     let (_fake, client) = platform().await;
     let store = WarmStore::new(client.clone());
-    let done = store.write(RouterId(7), WarmPart::Base, &snapshot(3)).await;
-    done.expect("it is written");
+    let result = store.write(RouterId(7), WarmPart::Base, &snapshot(3)).await;
+    result.expect("the snapshot is written");
     let object = client.get_object(NAME).await.expect("a reply");
-    let whole = object.expect("it is there").to_vec();
-    for index in 0..whole.len() {
-        let mut changed = whole.clone();
+    let original = object.expect("the object exists").to_vec();
+    for index in 0..original.len() {
+        let mut changed = original.clone();
         changed[index] ^= 1;
-        problem(&client, changed).await;
-        problem(&client, whole[..index].to_vec()).await;
+        problem_of(&client, changed).await;
+        problem_of(&client, original[..index].to_vec()).await;
     }
-    let mut longer = whole;
+    let mut longer = original;
     longer.push(0);
-    assert_eq!(problem(&client, longer).await, "its checksum does not fit");
+    assert_eq!(
+        problem_of(&client, longer).await,
+        "its checksum does not fit"
+    );
 }
 
 #[tokio::test]
-async fn a_foreign_an_older_and_a_huge_snapshot_are_told_apart() {
+async fn snapshots_of_another_router_or_format_and_oversized_ones_have_distinct_errors() {
     let (_fake, client) = platform().await;
     let store = WarmStore::new(client.clone());
-    let done = store.write(RouterId(8), WarmPart::Base, &snapshot(3)).await;
-    done.expect("it is written");
-    let foreign = client
+    let result = store.write(RouterId(8), WarmPart::Base, &snapshot(3)).await;
+    result.expect("the snapshot is written");
+    let other_router = client
         .get_object("placement-memory-0000000000000008-base")
         .await;
-    let foreign = foreign.expect("a reply").expect("it is there").to_vec();
-    assert_eq!(problem(&client, foreign).await, "it is another router's");
-    let older = b"{\"format\":0,\"router\":7,\"written_at_ms\":1,\"checksum\":1}\n";
+    let other_router = other_router
+        .expect("a reply")
+        .expect("the object exists")
+        .to_vec();
+    assert_eq!(
+        problem_of(&client, other_router).await,
+        "it is another router's"
+    );
+    let old_format = b"{\"format\":0,\"router\":7,\"written_at_ms\":1,\"checksum\":1}\n";
     assert_eq!(
-        problem(&client, older.to_vec()).await,
+        problem_of(&client, old_format.to_vec()).await,
         "it is of another format"
     );
     assert_eq!(
-        problem(&client, vec![b'\n'; 2 << 20]).await,
+        problem_of(&client, vec![b'\n'; 2 << 20]).await,
         "it is too large"
     );
 }
