--- a/crates/sapphiretrack-tls/src/identity.rs
+++ b/crates/sapphiretrack-tls/src/identity.rs
@@ -1,4 +1,4 @@
-//! TLS for servers: the certificate that they show.
+//! TLS for servers: the certificate that a server presents.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use tokio_rustls::TlsAcceptor;
 use tokio_rustls::server::TlsStream;
 
-/// The HTTP versions that a server offers, the preferred one first.
+/// ALPN names of the HTTP versions that a server offers, the preferred one first.
 const HTTP_VERSIONS: [&[u8]; 2] = [b"h2", b"http/1.1"];
 
-/// A certificate and its private key.
+/// A server's certificate chain and private key.
 #[derive(Clone)]
 pub struct Identity {
     acceptor: TlsAcceptor,
 }
 
-/// Why a certificate cannot be shown.
+/// Why a certificate and key cannot be used.
 #[derive(Debug, Snafu)]
 pub enum IdentityError {
     /// A file cannot be read as PEM.
@@ -28,25 +28,25 @@
     ReadPem {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: rustls::pki_types::pem::Error,
     },
-    /// The certificate and the key do not go together.
+    /// The certificate is invalid or does not match the key.
     #[snafu(display(
         "the certificate {} cannot be used with its key: {source}; \
-         hint: --tls-key has to be the certificate's own",
+         hint: --tls-key must be the private key of the certificate",
         file.display()
     ))]
     Mismatch {
-        /// The certificate's file.
+        /// The file of the certificate.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: rustls::Error,
     },
 }
 
 impl Identity {
-    /// Reads the certificate chain and the private key, both PEM.
+    /// Reads the certificate chain and the private key from PEM files.
     pub fn from_pem_files(cert: &Path, key: &Path) -> Result<Self, IdentityError> {
         let chain: Vec<CertificateDer<'static>> = CertificateDer::pem_file_iter(cert)
             .and_then(Iterator::collect)
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Does the server's part of a handshake.
+    /// Performs the server side of the TLS handshake.
     pub async fn accept<Stream>(&self, stream: Stream) -> std::io::Result<TlsStream<Stream>>
     where
         Stream: AsyncRead + AsyncWrite + Unpin,
--- a/crates/sapphiretrack-tls/src/lib.rs
+++ b/crates/sapphiretrack-tls/src/lib.rs
@@ -1,4 +1,4 @@
-//! TLS: which certificates clients trust, and which one a server shows.
+//! TLS: the certificates that clients trust, and the certificate that a server presents.
 
 mod identity;
 
@@ -13,10 +13,10 @@
 
 pub use identity::{Identity, IdentityError};
 
-/// Connects to `http://` and `https://` addresses.
+/// Connector for `http://` and `https://` addresses.
 pub type Connector = HttpsConnector<HttpConnector>;
 
-/// Which certificates a client trusts.
+/// The root certificates that a client trusts. The default is none.
 #[derive(Clone, Debug)]
 pub struct Trust {
     roots: RootCertStore,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why certificates cannot be trusted.
+/// Why a file of trusted certificates cannot be used.
 #[derive(Debug, Snafu)]
 pub enum TrustError {
     /// The file cannot be read as PEM.
@@ -38,7 +38,7 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: rustls::pki_types::pem::Error,
     },
     /// A certificate in the file cannot be used.
@@ -46,10 +46,10 @@
     Certificate {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: rustls::Error,
     },
-    /// The file has no certificate.
+    /// The file contains no certificate.
     #[snafu(display("{} has no certificate; hint: use the CA's PEM file", file.display()))]
     Empty {
         /// The file.
@@ -58,7 +58,7 @@
 }
 
 impl Trust {
-    /// Trusts the certificates of a PEM file and no others.
+    /// Trusts only the certificates in a PEM file.
     pub fn from_pem_file(file: &Path) -> Result<Self, TrustError> {
         let mut roots = RootCertStore::empty();
         let certificates = CertificateDer::pem_file_iter(file).context(ReadSnafu { file })?;
@@ -70,7 +70,7 @@
         Ok(Self { roots })
     }
 
-    /// A connector that trusts these certificates.
+    /// Creates a connector that trusts these certificates.
     pub fn connector(&self) -> Connector {
         let config = ClientConfig::builder()
             .with_root_certificates(self.roots.clone())
