--- a/crates/sapphiretrack-caller/src/answer.rs
+++ b/crates/sapphiretrack-caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers, and how they look on the wire.
+//! Answers to callers and their encoding as HTTP responses.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -16,39 +16,39 @@
 use tokio::sync::mpsc::Receiver;
 
 use crate::headers::{OUTCOME_HEADER, WARM_HEADER};
-use crate::request::RequestToken;
+use crate::request::RequestGuard;
 
-/// The body of an answer; an error in it cuts the connection.
+/// The body of an HTTP response; an error in it aborts the connection.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// The value of the outcome header of a stream: its last event tells the outcome.
+/// The value of the outcome header of a streamed answer, whose last event carries the outcome.
 const OUTCOME_IN_STREAM: &str = "in-stream";
 
 /// An answer to a caller.
 pub enum Answer {
-    /// The whole answer.
-    Whole(WholeAnswer),
-    /// The answer as it comes.
+    /// An answer with its complete body.
+    Buffered(BufferedAnswer),
+    /// An answer that is forwarded as its events arrive.
     Stream {
-        /// Where the chat is warm, for the caller's next request.
+        /// Identifies the server that has the chat in its cache, for the caller's next request.
         warm: String,
-        /// The events; the last one is the end or an error.
+        /// The events; the last one is [`StreamEvent::End`] or [`StreamEvent::Error`].
         events: Receiver<StreamEvent>,
     },
-    /// No result.
+    /// A typed error instead of a result.
     Refused(Refusal),
 }
 
-/// A whole answer.
+/// An answer with its complete body.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WholeAnswer {
+pub struct BufferedAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content_type: String,
     /// The body.
     pub body: Bytes,
-    /// Where the chat is warm, for the caller's next request.
+    /// Identifies the server that has the chat in its cache, for the caller's next request.
     pub warm: Option<String>,
 }
 
@@ -57,18 +57,18 @@
 pub enum StreamEvent {
     /// A part of the answer.
     Chunk(Box<Chunk>),
-    /// The explicit end: the answer is whole.
+    /// The explicit end: the answer is complete.
     End,
-    /// The explicit error: the answer is not whole.
+    /// The explicit error: the answer is incomplete.
     Error(Refusal),
 }
 
-/// Which routers to connect to.
+/// The reply to a lookup of the routers to connect to: `GET /v1/entry`.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct EntryReply {
-    /// The addresses, the best first.
+    /// The addresses of the routers, the preferred one first.
     pub addresses: Vec<String>,
-    /// How long the reply may be kept.
+    /// How long the caller may cache the reply, in milliseconds.
     pub ttl_ms: u64,
 }
 
@@ -79,18 +79,18 @@
     pub error: ErrorDetail,
 }
 
-/// An error as callers see it.
+/// An error as callers receive it.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct ErrorDetail {
-    /// One of the codes of the callers' page.
+    /// One of the error codes in `docs/callers.md`.
     pub code: String,
     /// What happened.
     pub message: String,
-    /// What to do.
+    /// What the caller can do.
     pub hint: String,
-    /// `not-run` or `unknown`.
+    /// Whether the request ran: `not-run` or `unknown`.
     pub outcome: String,
-    /// When to come back, where that helps.
+    /// The delay before a retry in milliseconds, if a retry can help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -109,69 +109,70 @@
     }
 }
 
-/// Writes an answer as an HTTP response; the token is held until its last byte is taken.
-pub(crate) fn respond(answer: Answer, token: RequestToken) -> Response<AnswerBody> {
-    let spare = token.clone();
+/// Encodes an answer as an HTTP response. The guard is held until the transport has taken the last
+/// byte of the body.
+pub(crate) fn respond(answer: Answer, guard: RequestGuard) -> Response<AnswerBody> {
+    let fallback_guard = guard.clone();
     let response = match answer {
-        Answer::Refused(refusal) => respond_refusal(&refusal, token),
-        Answer::Whole(whole) => respond_whole(whole, token),
+        Answer::Refused(refusal) => respond_refusal(&refusal, guard),
+        Answer::Buffered(answer) => respond_buffered(answer, guard),
         Answer::Stream { warm, events } => Response::builder()
             .status(StatusCode::OK)
             .header(header::CONTENT_TYPE, "text/event-stream")
             .header(header::CACHE_CONTROL, "no-store")
             .header(OUTCOME_HEADER, OUTCOME_IN_STREAM)
             .header(WARM_HEADER, warm)
-            .body(StreamBody::new(frames(events, token)).boxed_unsync()),
+            .body(StreamBody::new(stream_frames(events, guard)).boxed_unsync()),
     };
     response.unwrap_or_else(|error| {
-        // A header of the backend server's answer that cannot be passed on.
+        // The answer of the backend server holds a value that is not a valid header.
         let message = format!("the answer cannot be written: {error}");
         let refusal = Refusal::unknown(RefusalCode::ServerFailed, message);
-        let written = respond_refusal(&refusal, spare);
-        written.unwrap_or_else(|_| Response::new(AnswerBody::default()))
+        let response = respond_refusal(&refusal, fallback_guard);
+        response.unwrap_or_else(|_| Response::new(AnswerBody::default()))
     })
 }
 
-/// The frames of a stream. If the events stop without an end or error, the body fails, and with
-/// it the connection: a cut never looks like an end.
-fn frames(
+/// The body frames of a streamed answer. If the channel closes without an end or error event, the
+/// body fails and the connection is aborted, so that a truncated answer never looks complete.
+fn stream_frames(
     mut events: Receiver<StreamEvent>,
-    token: RequestToken,
+    guard: RequestGuard,
 ) -> impl Stream<Item = Result<Frame<Bytes>, std::io::Error>> {
-    let mut token = Some(token);
+    let mut guard = Some(guard);
     futures::stream::poll_fn(move |context| {
-        if token.is_none() {
+        if guard.is_none() {
             return Poll::Ready(None);
         }
         let Poll::Ready(event) = events.poll_recv(context) else {
             return Poll::Pending;
         };
         if !matches!(event, Some(StreamEvent::Chunk(_))) {
-            token = None;
+            guard = None;
         }
-        let cut = || std::io::Error::other("the answer stopped without its end");
+        let truncated = || std::io::Error::other("the answer ended without an end event");
         let frame = event.map(|event| Frame::data(encode_event(&event)));
-        Poll::Ready(Some(frame.ok_or_else(cut)))
+        Poll::Ready(Some(frame.ok_or_else(truncated)))
     })
 }
 
-fn respond_whole(
-    whole: WholeAnswer,
-    token: RequestToken,
+fn respond_buffered(
+    answer: BufferedAnswer,
+    guard: RequestGuard,
 ) -> Result<Response<AnswerBody>, http::Error> {
     let mut builder = Response::builder()
-        .status(whole.status)
-        .header(header::CONTENT_TYPE, whole.content_type)
+        .status(answer.status)
+        .header(header::CONTENT_TYPE, answer.content_type)
         .header(OUTCOME_HEADER, Outcome::Complete.as_str());
-    if let Some(warm) = whole.warm {
+    if let Some(warm) = answer.warm {
         builder = builder.header(WARM_HEADER, warm);
     }
-    builder.body(counted(whole.body, token))
+    builder.body(guarded_body(answer.body, guard))
 }
 
 fn respond_refusal(
     refusal: &Refusal,
-    token: RequestToken,
+    guard: RequestGuard,
 ) -> Result<Response<AnswerBody>, http::Error> {
     let body = serde_json::to_vec(&ErrorBody::from(refusal)).unwrap_or_default();
     let mut builder = Response::builder()
@@ -182,24 +183,24 @@
         let seconds = retry_after_ms.div_ceil(1_000).max(1);
         builder = builder.header(header::RETRY_AFTER, seconds);
     }
-    builder.body(counted(Bytes::from(body), token))
+    builder.body(guarded_body(Bytes::from(body), guard))
 }
 
-/// A whole body that counts as in flight until the transport has taken it.
-struct CountedBody {
-    whole: Full<Bytes>,
-    _token: RequestToken,
+/// A complete body that keeps its request in flight until the transport has taken it.
+struct GuardedBody {
+    inner: Full<Bytes>,
+    _guard: RequestGuard,
 }
 
-fn counted(body: Bytes, token: RequestToken) -> AnswerBody {
-    let body = CountedBody {
-        whole: Full::new(body),
-        _token: token,
+fn guarded_body(body: Bytes, guard: RequestGuard) -> AnswerBody {
+    let body = GuardedBody {
+        inner: Full::new(body),
+        _guard: guard,
     };
     body.map_err(|never| match never {}).boxed_unsync()
 }
 
-impl http_body::Body for CountedBody {
+impl http_body::Body for GuardedBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -207,15 +208,15 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        Pin::new(&mut self.whole).poll_frame(context)
+        Pin::new(&mut self.inner).poll_frame(context)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.whole.is_end_stream()
+        self.inner.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.whole.size_hint()
+        self.inner.size_hint()
     }
 }
 
--- a/crates/sapphiretrack-caller/src/client.rs
+++ b/crates/sapphiretrack-caller/src/client.rs
@@ -1,4 +1,4 @@
-//! A client as callers would write one: for the command-line tool, measurements and tests.
+//! A client of the callers' interface, for the command-line tool, benchmarks and tests.
 
 use bytes::Bytes;
 use eventsource_stream::Eventsource;
@@ -17,68 +17,68 @@
     ZONE_HEADER,
 };
 
-/// Why a request gave no answer.
+/// Why a request got no answer.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// No connection: the request was not run.
+    /// No connection could be made: the request did not run.
     #[snafu(display("the router at {url} cannot be reached: {reason}"))]
     Unreachable {
-        /// The router.
+        /// The URL of the router.
         url: String,
-        /// What the transport said.
+        /// The error of the transport.
         reason: String,
     },
-    /// The connection broke: the request may have been run.
+    /// The connection broke or the answer is invalid: the request may have run.
     #[snafu(display("the answer from {url} broke: {reason}"))]
     Broken {
-        /// The router.
+        /// The URL of the router.
         url: String,
-        /// What happened.
+        /// What went wrong.
         reason: String,
     },
 }
 
-/// What a request is sent with beside its body.
+/// The headers of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestOptions {
-    /// A key of the customer's contract.
+    /// A caller key of the customer's contract.
     pub key: String,
     /// The workspace.
     pub workspace: Option<String>,
     /// The chat's id.
     pub chat: Option<String>,
-    /// The class.
+    /// The name of the request's class.
     pub class: Option<String>,
-    /// The value of an earlier answer that tells where the chat is warm.
+    /// The value of [`WARM_HEADER`] in the previous answer of the chat.
     pub warm: Option<String>,
-    /// The key of a non-idempotent request.
+    /// The idempotency key of a non-idempotent request.
     pub idempotency_key: Option<String>,
 }
 
-/// An answer read to its end.
+/// An answer that was read to its end.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ReadAnswer {
+pub struct ReceivedAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The outcome: of the header, or of a stream's last event.
+    /// The outcome, from the header or from the last event of a stream.
     pub outcome: String,
-    /// Where the chat is warm.
+    /// The value of [`WARM_HEADER`], to send with the chat's next request.
     pub warm: Option<String>,
-    /// When to come back, in seconds.
+    /// The value of the `retry-after` header, in seconds.
     pub retry_after_s: Option<u64>,
-    /// The body, or a stream's text.
+    /// The body, or the concatenated text of a stream.
     pub body: String,
     /// The error, if there is one.
     pub error: Option<ErrorBody>,
-    /// Prompt tokens, and those found in a cache, as the engine counted them.
+    /// The number of prompt tokens as counted by the engine, cached ones included.
     pub prompt_tokens: u32,
-    /// Of them, those found in a cache.
+    /// The number of prompt tokens that the engine found in a cache.
     pub cached_tokens: u32,
-    /// Tokens generated.
+    /// The number of generated tokens.
     pub completion_tokens: u32,
 }
 
-/// Sends callers' requests.
+/// Sends requests as a caller.
 #[derive(Clone, Debug)]
 pub struct CallerClient {
     http: Client<Connector, Full<Bytes>>,
@@ -91,21 +91,21 @@
 }
 
 impl CallerClient {
-    /// A client; it connects when first used.
+    /// Creates a client, which connects when it is first used.
     pub fn new() -> Self {
         Self::with_trust(&Trust::default())
     }
 
-    /// A client that also connects by TLS to certificates that it trusts.
+    /// Creates a client that also connects over TLS, to servers whose certificates `trust` accepts.
     pub fn with_trust(trust: &Trust) -> Self {
-        // A request that the pool sends again on its own could run twice.
+        // A request that the connection pool retries could run twice.
         let http = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build(trust.connector());
         Self { http }
     }
 
-    /// Asks a router (`http://IP:PORT`) which routers to connect to.
+    /// Asks the router at `url` (`http://IP:PORT`) which routers to connect to.
     pub async fn entry(&self, url: &str, zone: Option<&str>) -> Result<EntryReply, ClientError> {
         let mut request = http::Request::get(format!("{url}/v1/entry"));
         if let Some(zone) = zone {
@@ -116,25 +116,26 @@
         serde_json::from_slice(&body).or_else(|error| broken(url, &error))
     }
 
-    /// Sends a chat and reads its answer to the end; `on_text` sees each part as it comes.
+    /// Sends a chat and reads its answer to the end. `on_text` is called with each part of the text
+    /// as it arrives.
     pub async fn chat<OnText>(
         &self,
         url: &str,
         body: Bytes,
         options: &RequestOptions,
         mut on_text: OnText,
-    ) -> Result<ReadAnswer, ClientError>
+    ) -> Result<ReceivedAnswer, ClientError>
     where
         OnText: FnMut(&str),
     {
         let request = http::Request::post(format!("{url}/v1/chat/completions"));
         let response = self
-            .send(url, with_options(request, options).body(Full::new(body)))
+            .send(url, add_headers(request, options).body(Full::new(body)))
             .await?;
         let mut answer = read_head(&response);
-        let content_type = header(&response, http::header::CONTENT_TYPE.as_str());
+        let content_type = header_value(&response, http::header::CONTENT_TYPE.as_str());
         if content_type.as_deref() != Some("text/event-stream") {
-            return finish_whole(url, response, answer).await;
+            return read_buffered(url, response, answer).await;
         }
         answer.outcome = String::from("unknown");
         let mut events = std::pin::pin!(stream_events(response));
@@ -166,12 +167,12 @@
         }
         BrokenSnafu {
             url,
-            reason: "the stream was cut before its end",
+            reason: "the stream ended before its last event",
         }
         .fail()
     }
 
-    /// Calls a plain service.
+    /// Sends a request to a plain service.
     pub async fn service(
         &self,
         url: &str,
@@ -179,15 +180,15 @@
         path: &str,
         body: Bytes,
         options: &RequestOptions,
-    ) -> Result<ReadAnswer, ClientError> {
+    ) -> Result<ReceivedAnswer, ClientError> {
         let request = http::Request::builder()
             .method(method)
             .uri(format!("{url}/v1/services/{path}"));
         let response = self
-            .send(url, with_options(request, options).body(Full::new(body)))
+            .send(url, add_headers(request, options).body(Full::new(body)))
             .await?;
         let answer = read_head(&response);
-        finish_whole(url, response, answer).await
+        read_buffered(url, response, answer).await
     }
 
     async fn send(
@@ -214,11 +215,11 @@
     }
 }
 
-fn with_options(
+fn add_headers(
     request: http::request::Builder,
     options: &RequestOptions,
 ) -> http::request::Builder {
-    let fields = [
+    let headers = [
         (WORKSPACE_HEADER, &options.workspace),
         (CHAT_HEADER, &options.chat),
         (CLASS_HEADER, &options.class),
@@ -231,7 +232,7 @@
             format!("Bearer {}", options.key),
         )
         .header(http::header::CONTENT_TYPE, "application/json");
-    fields
+    headers
         .into_iter()
         .fold(request, |request, (name, value)| match value {
             Some(value) => request.header(name, value),
@@ -247,26 +248,26 @@
         .map(|event| event.map_err(|error| error.to_string()))
 }
 
-fn header(response: &http::Response<Incoming>, name: &str) -> Option<String> {
+fn header_value(response: &http::Response<Incoming>, name: &str) -> Option<String> {
     Some(response.headers().get(name)?.to_str().ok()?.to_owned())
 }
 
-fn read_head(response: &http::Response<Incoming>) -> ReadAnswer {
-    ReadAnswer {
+fn read_head(response: &http::Response<Incoming>) -> ReceivedAnswer {
+    ReceivedAnswer {
         status: response.status().as_u16(),
-        outcome: header(response, OUTCOME_HEADER).unwrap_or_default(),
-        warm: header(response, WARM_HEADER),
-        retry_after_s: header(response, http::header::RETRY_AFTER.as_str())
+        outcome: header_value(response, OUTCOME_HEADER).unwrap_or_default(),
+        warm: header_value(response, WARM_HEADER),
+        retry_after_s: header_value(response, http::header::RETRY_AFTER.as_str())
             .and_then(|text| text.parse().ok()),
-        ..ReadAnswer::default()
+        ..ReceivedAnswer::default()
     }
 }
 
-async fn finish_whole(
+async fn read_buffered(
     url: &str,
     response: http::Response<Incoming>,
-    mut answer: ReadAnswer,
-) -> Result<ReadAnswer, ClientError> {
+    mut answer: ReceivedAnswer,
+) -> Result<ReceivedAnswer, ClientError> {
     let body = read_body(url, response).await?;
     answer.body = String::from_utf8_lossy(&body).into_owned();
     if answer.status >= 400 {
--- a/crates/sapphiretrack-caller/src/headers.rs
+++ b/crates/sapphiretrack-caller/src/headers.rs
@@ -1,16 +1,17 @@
 //! Names of the headers that callers and routers exchange.
 
-/// Tells the caller what is known about the run of its request.
+/// Tells the caller whether its request ran.
 pub const OUTCOME_HEADER: &str = "sapphiretrack-outcome";
-/// Tells where a chat is warm; the caller sends it back with the chat's next request.
+/// Identifies the server that has a chat in its cache; the caller sends the value back with the
+/// chat's next request.
 pub const WARM_HEADER: &str = "sapphiretrack-warm";
 /// Names the workspace.
 pub const WORKSPACE_HEADER: &str = "sapphiretrack-workspace";
 /// Names the chat.
 pub const CHAT_HEADER: &str = "sapphiretrack-chat";
-/// Names the class.
+/// Names the request's class.
 pub const CLASS_HEADER: &str = "sapphiretrack-class";
-/// Names the caller's availability zone in a lookup.
+/// Names the caller's availability zone in a lookup of routers.
 pub const ZONE_HEADER: &str = "sapphiretrack-zone";
-/// The key of a non-idempotent request.
+/// Holds the idempotency key of a non-idempotent request.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
--- a/crates/sapphiretrack-caller/src/lib.rs
+++ b/crates/sapphiretrack-caller/src/lib.rs
@@ -8,12 +8,12 @@
 mod request;
 mod server;
 
-pub use answer::{Answer, EntryReply, ErrorBody, ErrorDetail, StreamEvent, WholeAnswer};
-pub use client::{CallerClient, ClientError, ReadAnswer, RequestOptions};
+pub use answer::{Answer, BufferedAnswer, EntryReply, ErrorBody, ErrorDetail, StreamEvent};
+pub use client::{CallerClient, ClientError, ReceivedAnswer, RequestOptions};
 pub use headers::{
     CHAT_HEADER, CLASS_HEADER, IDEMPOTENCY_HEADER, OUTCOME_HEADER, WARM_HEADER, WORKSPACE_HEADER,
     ZONE_HEADER,
 };
 pub use listen::{CallerServer, Settings, StartError};
-pub use request::{CallerRequest, ChatCall, RequestToken, ServiceCall, Target};
-pub use server::{Authenticate, CallerHandlers, LookUp, Run};
+pub use request::{CallerRequest, ChatCall, RequestGuard, ServiceCall, Target};
+pub use server::{Authenticate, CallerHandlers, EntryLookup, RunRequest};
--- a/crates/sapphiretrack-caller/src/listen.rs
+++ b/crates/sapphiretrack-caller/src/listen.rs
@@ -1,7 +1,7 @@
-//! The callers' listener: connections, and how they end at a planned stop.
+//! The callers' listener: accepts connections, and closes them gracefully at a planned stop.
 //!
-//! It is on `hyper-util` and not on dropshot, which gives no hold on its sockets: without
-//! `TCP_NODELAY` the tokens of a stream wait for the caller's delayed acknowledgements.
+//! It uses `hyper-util` because dropshot gives no access to its sockets: without `TCP_NODELAY` the
+//! tokens of a stream wait for the caller's delayed acknowledgements.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,23 +20,23 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-use crate::server::{CallerHandlers, Service};
+use crate::server::{CallerHandlers, CallerService};
 
-/// How long a TLS handshake may take.
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(10);
-/// The wait after an accept that failed, as for want of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
-/// After the last connection was accepted, requests on their way still have so long to arrive.
-const LATE_REQUESTS: Duration = Duration::from_millis(200);
+/// The longest time of a TLS handshake.
+const TLS_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The delay after a failed accept, such as one for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long requests may still arrive after the last connection was accepted.
+const LATE_REQUEST_GRACE: Duration = Duration::from_millis(200);
 
-/// Where and how callers are served.
+/// Settings of the endpoint.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The address; port 0 takes a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: SocketAddr,
-    /// The largest body of a request.
+    /// The largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// The files of the certificate and of its key; without them there is no TLS.
+    /// The files of the certificate and its private key (PEM); `None` disables TLS.
     pub tls: Option<(PathBuf, PathBuf)>,
 }
 
@@ -50,34 +50,34 @@
     }
 }
 
-/// Why the endpoint did not start.
+/// Why the endpoint failed to start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The address cannot be used.
+    /// The address cannot be bound.
     #[snafu(display("the callers' endpoint cannot start on {address}: {source}"))]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The certificate or its key cannot be used.
     #[snafu(display("the callers' endpoint cannot start: {source}"))]
     Certificate {
-        /// Why.
+        /// The cause.
         source: sapphiretrack_tls::IdentityError,
     },
 }
 
-/// The running endpoint.
+/// A running endpoint.
 pub struct CallerServer {
     local_address: SocketAddr,
     close: oneshot::Sender<()>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl CallerServer {
-    /// Starts the endpoint on the present runtime.
+    /// Starts the endpoint on the current Tokio runtime.
     pub fn start(settings: &Settings, handlers: CallerHandlers) -> Result<Self, StartError> {
         let address = settings.address;
         let identity = settings
@@ -88,10 +88,10 @@
             .context(CertificateSnafu)?;
         let bound = bind(address).context(BindSnafu { address })?;
         let (listener, local_address) = bound;
-        let (close, closing) = oneshot::channel();
-        let connections = Connections {
+        let (close, close_requested) = oneshot::channel();
+        let connections = ConnectionContext {
             identity,
-            service: Arc::new(Service {
+            service: Arc::new(CallerService {
                 handlers,
                 max_body_bytes: settings.max_body_bytes,
             }),
@@ -100,21 +100,22 @@
         Ok(Self {
             local_address,
             close,
-            accepting: tokio::spawn(accept(listener, connections, closing)),
+            accept_task: tokio::spawn(accept(listener, connections, close_requested)),
         })
     }
 
-    /// Where callers are served.
+    /// The address that the endpoint listens on.
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// Accepts no more, and waits until every request that came has its whole answer.
+    /// Stops listening and waits until every received request has its complete answer.
     ///
-    /// What is in the accept queue is still served: its sender was told of this address.
+    /// Connections in the accept queue are still served, because their callers were told to use
+    /// this address.
     pub async fn close(self) {
         self.close.send(()).ok();
-        drop(self.accepting.await);
+        drop(self.accept_task.await);
     }
 }
 
@@ -127,47 +128,48 @@
 
 async fn accept(
     listener: TcpListener,
-    connections: Connections,
-    mut closing: oneshot::Receiver<()>,
+    connections: ConnectionContext,
+    mut close_requested: oneshot::Receiver<()>,
 ) {
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => connections.serve(stream),
-                Err(_) => tokio::time::sleep(ACCEPT_RETRY).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
-            _ = &mut closing => break,
+            _ = &mut close_requested => break,
         }
     }
     if let Ok(listener) = listener.into_std() {
         while let Ok((stream, _)) = listener.accept() {
-            if let Ok(stream) = adopt(stream) {
+            if let Ok(stream) = into_tokio_stream(stream) {
                 connections.serve(stream);
             }
         }
     }
-    // A connection that is told to close before its first byte was read cuts its request.
-    tokio::time::sleep(LATE_REQUESTS).await;
+    // A graceful shutdown closes a connection whose first byte has not been read, and the request
+    // on it would be lost.
+    tokio::time::sleep(LATE_REQUEST_GRACE).await;
     connections.graceful.shutdown().await;
 }
 
-/// A stream of the standard library as one of this runtime.
-fn adopt(stream: std::net::TcpStream) -> std::io::Result<TcpStream> {
+/// Registers a stream of the standard library with the current runtime.
+fn into_tokio_stream(stream: std::net::TcpStream) -> std::io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
 }
 
-/// What all connections share.
-struct Connections {
+/// The state that all connections share.
+struct ConnectionContext {
     identity: Option<Identity>,
-    service: Arc<Service>,
+    service: Arc<CallerService>,
     graceful: GracefulShutdown,
 }
 
-impl Connections {
-    /// Serves one connection in a task of its own.
+impl ConnectionContext {
+    /// Serves a connection in a new task.
     fn serve(&self, stream: TcpStream) {
-        // Without it a stream still works, in bunches.
+        // If this fails, the connection still works, but tokens arrive in batches.
         drop(stream.set_nodelay(true));
         let watcher = self.graceful.watcher();
         let service = self.service.clone();
@@ -176,7 +178,7 @@
             return;
         };
         tokio::spawn(async move {
-            let handshake = tokio::time::timeout(HANDSHAKE_LIMIT, identity.accept(stream));
+            let handshake = tokio::time::timeout(TLS_HANDSHAKE_TIMEOUT, identity.accept(stream));
             if let Ok(Ok(stream)) = handshake.await {
                 serve_http(stream, service, watcher).await;
             }
@@ -184,7 +186,7 @@
     }
 }
 
-async fn serve_http<Stream>(stream: Stream, service: Arc<Service>, watcher: Watcher)
+async fn serve_http<Stream>(stream: Stream, service: Arc<CallerService>, watcher: Watcher)
 where
     Stream: AsyncRead + AsyncWrite + Send + Unpin + 'static,
 {
@@ -196,6 +198,6 @@
         async move { Ok::<_, Infallible>(service.answer(request).await) }
     });
     let connection = builder.serve_connection(TokioIo::new(stream), service);
-    // A connection that breaks is its caller's to notice.
+    // A broken connection is not reported here: its caller sees it.
     drop(watcher.watch(connection.into_owned()).await);
 }
--- a/crates/sapphiretrack-caller/src/parse.rs
+++ b/crates/sapphiretrack-caller/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads requests; every flaw is a typed refusal.
+//! Parses requests; every invalid one gets a typed refusal.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -8,14 +8,14 @@
 
 use crate::request::{ChatCall, ServiceCall};
 
-/// The largest header value that is used.
+/// The largest accepted header value, in bytes.
 const MAX_HEADER_BYTES: usize = 256;
-/// Bytes of text that make about one token.
+/// The approximate number of bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// The most tokens of an answer whose request names none.
+/// The assumed limit on the tokens of an answer if the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
 
-/// The fields of a chat body that the router reads.
+/// The fields of a chat body that the router uses.
 #[derive(Deserialize)]
 struct ChatBody {
     model: String,
@@ -34,24 +34,25 @@
     content: Value,
 }
 
-/// Reads a chat body.
-pub(crate) fn chat_call(body: &Bytes) -> Result<ChatCall, Refusal> {
-    let chat: ChatBody = serde_json::from_slice(body).map_err(|error| malformed(&error))?;
+/// Parses the body of a chat request.
+pub(crate) fn parse_chat(body: &Bytes) -> Result<ChatCall, Refusal> {
+    let chat: ChatBody = serde_json::from_slice(body).map_err(|error| malformed_body(&error))?;
     if chat.messages.is_empty() {
         return Err(Refusal::not_run(
             RefusalCode::MalformedBody,
             "`messages` is empty",
         ));
     }
-    let mut forwarded: Value = serde_json::from_slice(body).map_err(|error| malformed(&error))?;
+    let mut forwarded: Value =
+        serde_json::from_slice(body).map_err(|error| malformed_body(&error))?;
     forwarded["stream"] = Value::Bool(true);
     let text_bytes: usize = chat
         .messages
         .iter()
-        .map(|message| text_of(message).len())
+        .map(|message| message_text(message).len())
         .sum();
     Ok(ChatCall {
-        opening: opening(&chat.messages),
+        opening: opening_text(&chat.messages),
         model: chat.model,
         stream: chat.stream,
         body: Bytes::from(forwarded.to_string()),
@@ -60,8 +61,8 @@
     })
 }
 
-/// Reads the path of a service call: `NAME/REST`.
-pub(crate) fn service_call(
+/// Parses a service call, whose path after the prefix is `NAME/REST`.
+pub(crate) fn parse_service_call(
     method: &http::Method,
     rest: &str,
     query: Option<&str>,
@@ -80,7 +81,8 @@
     })
 }
 
-/// A header's value, if it is there and can be used.
+/// The value of a header; `None` if the header is absent, and a refusal if its value is too long or
+/// not visible ASCII.
 pub(crate) fn text_header<'a>(
     headers: &'a HeaderMap,
     name: &str,
@@ -97,17 +99,17 @@
     }
 }
 
-fn malformed(error: &serde_json::Error) -> Refusal {
+fn malformed_body(error: &serde_json::Error) -> Refusal {
     Refusal::not_run(
         RefusalCode::MalformedBody,
         format!("the body cannot be read: {error}"),
     )
 }
 
-fn opening(messages: &[Message]) -> String {
+fn opening_text(messages: &[Message]) -> String {
     let mut text = String::new();
     for message in messages {
-        text.push_str(&text_of(message));
+        text.push_str(&message_text(message));
         text.push('\n');
         if message.role == "user" {
             break;
@@ -116,7 +118,7 @@
     text
 }
 
-fn text_of(message: &Message) -> String {
+fn message_text(message: &Message) -> String {
     match &message.content {
         Value::String(text) => text.clone(),
         Value::Null => String::new(),
--- a/crates/sapphiretrack-caller/src/request.rs
+++ b/crates/sapphiretrack-caller/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! A caller's request after parsing and validation.
 
 use std::any::Any;
 use std::sync::Arc;
@@ -6,52 +6,52 @@
 use bytes::Bytes;
 use sapphiretrack_core::{ClassPolicy, Contract};
 
-/// A request of a known customer.
+/// A request of an authenticated customer.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
     /// The customer's contract.
     pub contract: Arc<Contract>,
     /// The name of the request's class.
     pub class: String,
-    /// The class.
+    /// The settings of the class.
     pub policy: ClassPolicy,
-    /// The workspace, empty if none was named.
+    /// The workspace; empty if the caller named none.
     pub workspace: String,
     /// The chat's id, if the caller gave one.
     pub chat: Option<String>,
-    /// The value of an earlier answer that tells where the chat is warm.
+    /// The value of the warm header in the previous answer of the chat.
     pub warm: Option<String>,
-    /// The key of a non-idempotent request.
+    /// The idempotency key of a non-idempotent request.
     pub idempotency_key: Option<String>,
-    /// What is asked for.
+    /// The model or service that the request is for.
     pub target: Target,
-    /// Counts the request as in flight.
-    pub token: RequestToken,
+    /// Keeps the request counted as in flight.
+    pub guard: RequestGuard,
 }
 
-/// Counts a request as in flight until the last clone is dropped: the handler, the answer's
-/// body and each task that works on the request hold one.
+/// Keeps a request counted as in flight until the last clone is dropped. The handler, the body of
+/// the answer and each task that works on the request hold a clone.
 #[derive(Clone)]
-pub struct RequestToken(Arc<dyn Any + Send + Sync>);
+pub struct RequestGuard(Arc<dyn Any + Send + Sync>);
 
-impl RequestToken {
-    /// A token that drops `counted` when the request has ended.
-    pub fn new<Counted>(counted: Counted) -> Self
+impl RequestGuard {
+    /// Creates a guard that drops `inner` when the request has ended.
+    pub fn new<Inner>(inner: Inner) -> Self
     where
-        Counted: Send + Sync + 'static,
+        Inner: Send + Sync + 'static,
     {
-        Self(Arc::new(counted))
+        Self(Arc::new(inner))
     }
 }
 
-impl std::fmt::Debug for RequestToken {
+impl std::fmt::Debug for RequestGuard {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "RequestToken({})", Arc::strong_count(&self.0))
+        write!(formatter, "RequestGuard({})", Arc::strong_count(&self.0))
     }
 }
 
 impl CallerRequest {
-    /// The model or service that is asked for.
+    /// The name of the requested model or service, which is also the name of its pool.
     pub fn pool(&self) -> &str {
         match &self.target {
             Target::Chat(call) => &call.model,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The path by which non-idempotent requests are told from others.
+    /// The path that the contract's rules for non-idempotent requests are matched against.
     pub fn path(&self) -> &str {
         match &self.target {
             Target::Chat(_) => "/v1/chat/completions",
@@ -68,12 +68,12 @@
     }
 }
 
-/// What is asked for.
+/// The model or service that a request is for.
 #[derive(Clone, Debug)]
 pub enum Target {
-    /// A chat answer of a model.
+    /// A chat with a model.
     Chat(ChatCall),
-    /// A call on a plain service.
+    /// A call of a plain service.
     Service(ServiceCall),
 }
 
@@ -82,28 +82,29 @@
 pub struct ChatCall {
     /// The model.
     pub model: String,
-    /// Whether the caller wants the answer as a stream.
+    /// Whether the caller asked for a streamed answer.
     pub stream: bool,
-    /// The caller's body, asking for a stream.
+    /// The caller's body, changed to always ask for a stream.
     pub body: Bytes,
-    /// The opening of the chat: the messages up to the first of the user.
+    /// The text of the messages up to and including the first one of the user; it identifies a
+    /// chat without an id.
     pub opening: String,
-    /// Estimated length of the prompt.
+    /// The estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// The most tokens that the answer may have.
+    /// The largest number of tokens in the answer.
     pub max_tokens: u32,
 }
 
-/// A plain service call.
+/// A call of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// The HTTP method.
     pub method: http::Method,
-    /// The path on the service, with its query.
+    /// The path on the service, with the query.
     pub path: String,
-    /// The body's content type.
+    /// The content type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Bytes,
--- a/crates/sapphiretrack-caller/src/server.rs
+++ b/crates/sapphiretrack-caller/src/server.rs
@@ -1,4 +1,4 @@
-//! Reads callers' requests, and answers each: a request that cannot be read gets a typed refusal.
+//! Reads callers' requests and answers them; an invalid request gets a typed refusal.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use hyper::body::Incoming;
 use sapphiretrack_core::{Contract, Refusal, RefusalCode};
 
-use crate::answer::{Answer, AnswerBody, EntryReply, WholeAnswer, respond};
+use crate::answer::{Answer, AnswerBody, BufferedAnswer, EntryReply, respond};
 use crate::headers::{
     CHAT_HEADER, CLASS_HEADER, IDEMPOTENCY_HEADER, WARM_HEADER, WORKSPACE_HEADER, ZONE_HEADER,
 };
-use crate::parse::{chat_call, service_call, text_header};
-use crate::request::{CallerRequest, RequestToken, Target};
+use crate::parse::{parse_chat, parse_service_call, text_header};
+use crate::request::{CallerRequest, RequestGuard, Target};
 
-/// The path of chats.
+/// The path of chat requests.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// The path under which plain services are called.
+/// The path prefix of calls to plain services.
 const SERVICES_PATH: &str = "/v1/services/";
-/// The methods by which plain services are called.
+/// The HTTP methods that are allowed for plain services.
 const SERVICE_METHODS: [Method; 5] = [
     Method::DELETE,
     Method::GET,
@@ -29,59 +29,59 @@
     Method::PUT,
 ];
 
-/// Finds the contract that lists a key.
+/// Finds the contract that lists a caller key.
 pub type Authenticate = Arc<dyn Fn(&str) -> Result<Arc<Contract>, Refusal> + Send + Sync>;
-/// Answers a lookup from an availability zone.
-pub type LookUp = Arc<dyn Fn(Option<&str>) -> EntryReply + Send + Sync>;
+/// Answers a lookup of routers for a caller's availability zone, if it named one.
+pub type EntryLookup = Arc<dyn Fn(Option<&str>) -> EntryReply + Send + Sync>;
 /// Runs a request.
-pub type Run = Arc<dyn Fn(CallerRequest) -> BoxFuture<'static, Answer> + Send + Sync>;
+pub type RunRequest = Arc<dyn Fn(CallerRequest) -> BoxFuture<'static, Answer> + Send + Sync>;
 
-/// What the daemon does for callers.
+/// The functions of the daemon that the endpoint calls.
 #[derive(Clone)]
 pub struct CallerHandlers {
-    /// The contract that lists a key, or why there is none.
+    /// Finds the contract that lists a caller key, or the reason to refuse the request.
     pub authenticate: Authenticate,
-    /// Which routers a caller of an availability zone connects to.
-    pub entry: LookUp,
-    /// Whether the router is on a planned stop: answers then end their connections, so that no
-    /// caller keeps one that is about to close.
+    /// Lists the routers that a caller should connect to.
+    pub entry: EntryLookup,
+    /// Whether the router is in a planned stop. Answers then close their connections, so that no
+    /// caller reuses one that is about to close.
     pub is_stopping: Arc<dyn Fn() -> bool + Send + Sync>,
-    /// Counts a request as in flight from its head on.
-    pub begin: Arc<dyn Fn() -> RequestToken + Send + Sync>,
+    /// Counts a request as in flight from the moment its headers were read.
+    pub track_request: Arc<dyn Fn() -> RequestGuard + Send + Sync>,
     /// Runs a request.
-    pub run: Run,
-    /// Told of each refusal that was decided here.
-    pub refused: Arc<dyn Fn(&Refusal) + Send + Sync>,
+    pub run: RunRequest,
+    /// Called for each refusal that the endpoint decides itself.
+    pub on_refusal: Arc<dyn Fn(&Refusal) + Send + Sync>,
 }
 
-/// What every connection serves.
-pub(crate) struct Service {
-    /// What the daemon does.
+/// The service behind every connection.
+pub(crate) struct CallerService {
+    /// The functions of the daemon.
     pub(crate) handlers: CallerHandlers,
-    /// The largest body of a request.
+    /// The largest request body, in bytes.
     pub(crate) max_body_bytes: usize,
 }
 
-impl Service {
+impl CallerService {
     /// Answers one request.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let handlers = &self.handlers;
         let (parts, body) = request.into_parts();
-        let token = (handlers.begin)();
+        let guard = (handlers.track_request)();
         let answer = match (parts.method.as_str(), parts.uri.path()) {
-            ("GET", "/v1/entry") => entry(handlers, &parts.headers),
-            ("GET", "/healthz") => Ok(whole_json(String::from("{\"ok\":true}"))),
-            _ => match read_request(handlers, &parts, body, self.max_body_bytes, &token).await {
+            ("GET", "/v1/entry") => answer_entry(handlers, &parts.headers),
+            ("GET", "/healthz") => Ok(json_answer(String::from("{\"ok\":true}"))),
+            _ => match read_request(handlers, &parts, body, self.max_body_bytes, &guard).await {
                 Ok(request) => Ok((handlers.run)(request).await),
                 Err(refusal) => Err(refusal),
             },
         };
         let answer = answer.unwrap_or_else(|refusal| {
-            (handlers.refused)(&refusal);
+            (handlers.on_refusal)(&refusal);
             Answer::Refused(refusal)
         });
-        let mut response = respond(answer, token);
-        // A kept connection of a router that stops would be closed under the next request.
+        let mut response = respond(answer, guard);
+        // Otherwise the router could close the connection while the next request is being sent on it.
         if (handlers.is_stopping)() && parts.version <= Version::HTTP_11 {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
@@ -90,15 +90,15 @@
     }
 }
 
-fn entry(handlers: &CallerHandlers, headers: &HeaderMap) -> Result<Answer, Refusal> {
+fn answer_entry(handlers: &CallerHandlers, headers: &HeaderMap) -> Result<Answer, Refusal> {
     let reply = (handlers.entry)(text_header(headers, ZONE_HEADER)?);
-    Ok(whole_json(
+    Ok(json_answer(
         serde_json::to_string(&reply).unwrap_or_default(),
     ))
 }
 
-fn whole_json(body: String) -> Answer {
-    Answer::Whole(WholeAnswer {
+fn json_answer(body: String) -> Answer {
+    Answer::Buffered(BufferedAnswer {
         status: 200,
         content_type: String::from("application/json"),
         body: body.into(),
@@ -111,12 +111,14 @@
     parts: &http::request::Parts,
     body: Incoming,
     max_body_bytes: usize,
-    token: &RequestToken,
+    guard: &RequestGuard,
 ) -> Result<CallerRequest, Refusal> {
     let headers = &parts.headers;
     let path = parts.uri.path();
-    let is_service = SERVICE_METHODS.contains(&parts.method);
-    let service = path.strip_prefix(SERVICES_PATH).filter(|_| is_service);
+    let is_service_method = SERVICE_METHODS.contains(&parts.method);
+    let service = path
+        .strip_prefix(SERVICES_PATH)
+        .filter(|_| is_service_method);
     let is_chat = parts.method == Method::POST && path == CHAT_PATH;
     if service.is_none() && !is_chat {
         let message = format!("there is no {} {path}", parts.method);
@@ -125,27 +127,27 @@
     let contract = authenticate(handlers, headers)?;
     let body = read_body(body, max_body_bytes).await?;
     let target = match service {
-        Some(rest) => Target::Service(service_call(
+        Some(rest) => Target::Service(parse_service_call(
             &parts.method,
             rest,
             parts.uri.query(),
             headers,
             body,
         )?),
-        None => Target::Chat(chat_call(&body)?),
+        None => Target::Chat(parse_chat(&body)?),
     };
-    let (class, policy) = class_of(&contract, headers)?;
-    let text = |name| text_header(headers, name).map(|value| value.map(str::to_owned));
+    let (class, policy) = request_class(&contract, headers)?;
+    let header_text = |name| text_header(headers, name).map(|value| value.map(str::to_owned));
     let request = CallerRequest {
-        workspace: text(WORKSPACE_HEADER)?.unwrap_or_default(),
-        chat: text(CHAT_HEADER)?,
-        warm: text(WARM_HEADER)?,
-        idempotency_key: text(IDEMPOTENCY_HEADER)?,
+        workspace: header_text(WORKSPACE_HEADER)?.unwrap_or_default(),
+        chat: header_text(CHAT_HEADER)?,
+        warm: header_text(WARM_HEADER)?,
+        idempotency_key: header_text(IDEMPOTENCY_HEADER)?,
         class,
         policy,
         contract,
         target,
-        token: token.clone(),
+        guard: guard.clone(),
     };
     if !request.contract.pools.contains(request.pool()) {
         let message = format!("the contract has no model or service {:?}", request.pool());
@@ -156,7 +158,7 @@
 
 async fn read_body(body: Incoming, max_body_bytes: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, max_body_bytes).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             let message = format!("the body is over {max_body_bytes} bytes");
             Err(Refusal::not_run(RefusalCode::BodyTooLarge, message))
@@ -178,7 +180,7 @@
     (handlers.authenticate)(key)
 }
 
-fn class_of(
+fn request_class(
     contract: &Contract,
     headers: &HeaderMap,
 ) -> Result<(String, sapphiretrack_core::ClassPolicy), Refusal> {
--- a/crates/sapphiretrack-caller/tests/close.rs
+++ b/crates/sapphiretrack-caller/tests/close.rs
@@ -1,4 +1,4 @@
-//! How the callers' endpoint closes: requests that were sent to it are still answered.
+//! The endpoint answers all requests that were sent to it before it closes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,14 +6,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use sapphiretrack_caller::{
-    Answer, CallerHandlers, CallerServer, EntryReply, RequestToken, Settings,
+    Answer, CallerHandlers, CallerServer, EntryReply, RequestGuard, Settings,
 };
 use sapphiretrack_core::{Refusal, RefusalCode};
 use tokio::runtime::{Builder, Runtime};
 
-const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: router\r\n\r\n";
+const HEALTH_REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: router\r\n\r\n";
 
-/// A runtime that only runs while it is told to.
+/// A single-threaded runtime, which makes progress only inside `block_on`.
 fn runtime() -> Runtime {
     let built = Builder::new_current_thread().enable_all().build();
     built.expect("a runtime")
@@ -28,53 +28,53 @@
             ttl_ms: 1,
         }),
         is_stopping: Arc::new(move || stopping.load(Ordering::Relaxed)),
-        begin: Arc::new(|| RequestToken::new(())),
+        track_request: Arc::new(|| RequestGuard::new(())),
         run: Arc::new(|_| {
-            let refusal = Refusal::not_run(RefusalCode::NoServer, "nothing runs here");
+            let refusal = Refusal::not_run(RefusalCode::NoServer, "no server is configured");
             Box::pin(async { Answer::Refused(refusal) })
         }),
-        refused: Arc::new(|_| {}),
+        on_refusal: Arc::new(|_| {}),
     };
     let _guard = runtime.enter();
-    CallerServer::start(&Settings::default(), handlers).expect("it starts")
+    CallerServer::start(&Settings::default(), handlers).expect("the endpoint starts")
 }
 
 fn send(address: SocketAddr, request: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.write_all(request).expect("it is sent");
+    stream.write_all(request).expect("the request is sent");
     stream
 }
 
-/// Everything until the connection ends; a reset is an error.
-fn read(mut stream: TcpStream) -> std::io::Result<String> {
+/// Reads until the connection is closed; a reset is an error.
+fn read_to_close(mut stream: TcpStream) -> std::io::Result<String> {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).map(|_| answer)
 }
 
 #[test]
-fn a_request_that_nobody_has_read_yet_is_answered_though_the_endpoint_closes() {
+fn unread_requests_are_answered_when_the_endpoint_closes() {
     let runtime = runtime();
     let server = start(&runtime, &Arc::default());
-    // The runtime stands still: the connections and their requests are only in the kernel.
+    // The runtime is not running, so the connections and their requests exist only in the kernel.
     let streams: Vec<TcpStream> = (0..16)
-        .map(|_| send(server.local_address(), HEALTH))
+        .map(|_| send(server.local_address(), HEALTH_REQUEST))
         .collect();
     runtime.block_on(server.close());
     for stream in streams {
-        let answer = read(stream).expect("no reset");
+        let answer = read_to_close(stream).expect("no reset");
         assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer:?}");
         assert!(answer.ends_with("{\"ok\":true}"), "{answer:?}");
     }
 }
 
 #[test]
-fn a_stopping_router_asks_its_callers_to_close_their_connections() {
+fn a_stopping_router_tells_callers_to_close_their_connections() {
     let runtime = runtime();
     let stopping = Arc::new(AtomicBool::new(false));
     let server = start(&runtime, &stopping);
     let address = server.local_address();
     let first = std::thread::spawn(move || {
-        let mut stream = send(address, HEALTH);
+        let mut stream = send(address, HEALTH_REQUEST);
         let mut answer = [0; 1_024];
         let length = stream.read(&mut answer).expect("an answer");
         (
@@ -82,17 +82,19 @@
             stream,
         )
     });
-    let wait = || async {
+    let wait_for_first = || async {
         while !first.is_finished() {
             tokio::task::yield_now().await;
         }
     };
-    runtime.block_on(wait());
+    runtime.block_on(wait_for_first());
     let (answer, mut stream) = first.join().expect("no panic");
     assert!(!answer.contains("connection: close"), "{answer:?}");
     stopping.store(true, Ordering::Relaxed);
-    stream.write_all(HEALTH).expect("it is sent");
+    stream
+        .write_all(HEALTH_REQUEST)
+        .expect("the request is sent");
     runtime.block_on(server.close());
-    let answer = read(stream).expect("no reset");
+    let answer = read_to_close(stream).expect("no reset");
     assert!(answer.contains("connection: close\r\n"), "{answer:?}");
 }
--- a/crates/sapphiretrack-caller/tests/common/mod.rs
+++ b/crates/sapphiretrack-caller/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! The contract that tests of the callers' endpoint use.
+//! The contract for tests of the callers' endpoint.
 
-/// A contract of two pools.
+/// A contract with two pools.
 pub const CONTRACT: &str = r#"
 customer = "teranga"
 caller_keys_sha256 = []
--- a/crates/sapphiretrack-caller/tests/parsers.rs
+++ b/crates/sapphiretrack-caller/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The callers' endpoint takes any bytes and answers each with a typed refusal or a run.
+//! The endpoint answers arbitrary input either by running the request or by a typed refusal.
 
 mod common;
 
@@ -13,28 +13,28 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sapphiretrack_caller::{
-    Answer, CallerHandlers, CallerRequest, CallerServer, EntryReply, RequestToken, Settings,
-    WholeAnswer,
+    Answer, BufferedAnswer, CallerHandlers, CallerRequest, CallerServer, EntryReply, RequestGuard,
+    Settings,
 };
 use sapphiretrack_core::{Contract, Refusal, RefusalCode, parse_contract};
 use tokio::runtime::Runtime;
 
-type Http = Client<HttpConnector, Full<Bytes>>;
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 struct Endpoint {
     runtime: Runtime,
     url: String,
-    http: Http,
-    ran: Arc<Mutex<Vec<CallerRequest>>>,
+    http: HttpClient,
+    requests: Arc<Mutex<Vec<CallerRequest>>>,
     _server: CallerServer,
 }
 
 impl Endpoint {
     fn start() -> Self {
         let runtime = Runtime::new().expect("a runtime");
-        let ran: Arc<Mutex<Vec<CallerRequest>>> = Arc::default();
+        let requests: Arc<Mutex<Vec<CallerRequest>>> = Arc::default();
         let contract: Arc<Contract> = Arc::new(parse_contract(CONTRACT).expect("a contract"));
-        let runs = ran.clone();
+        let recorded = requests.clone();
         let handlers = CallerHandlers {
             authenticate: Arc::new(move |key| {
                 let known = (key == "good").then(|| contract.clone());
@@ -45,11 +45,11 @@
                 ttl_ms: 1,
             }),
             is_stopping: Arc::new(|| false),
-            begin: Arc::new(|| RequestToken::new(())),
+            track_request: Arc::new(|| RequestGuard::new(())),
             run: Arc::new(move |request| {
-                runs.lock().expect("no panic").push(request);
+                recorded.lock().expect("no panic").push(request);
                 Box::pin(async {
-                    Answer::Whole(WholeAnswer {
+                    Answer::Buffered(BufferedAnswer {
                         status: 200,
                         content_type: String::from("text/plain"),
                         body: Bytes::from_static(b"ran"),
@@ -57,18 +57,18 @@
                     })
                 })
             }),
-            refused: Arc::new(|_| {}),
+            on_refusal: Arc::new(|_| {}),
         };
         let _guard = runtime.enter();
         let settings = Settings {
             max_body_bytes: 10_000,
             ..Settings::default()
         };
-        let server = CallerServer::start(&settings, handlers).expect("it starts");
+        let server = CallerServer::start(&settings, handlers).expect("the endpoint starts");
         Self {
             url: format!("http://{}", server.local_address()),
             http: Client::builder(TokioExecutor::new()).build_http(),
-            ran,
+            requests,
             _server: server,
             runtime: {
                 drop(_guard);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sends a request; gives status, outcome and body.
+    /// Sends a request; returns the status, the outcome and the body.
     fn send(&self, request: http::Request<Full<Bytes>>) -> (u16, String, Bytes) {
         self.runtime.block_on(async {
             let response = self.http.request(request).await.expect("an answer");
@@ -85,19 +85,23 @@
             let outcome = response.headers().get("sapphiretrack-outcome");
             let outcome = outcome.and_then(|value| value.to_str().ok());
             let outcome = outcome.unwrap_or_default().to_owned();
-            let body = response.into_body().collect().await.expect("whole");
+            let body = response
+                .into_body()
+                .collect()
+                .await
+                .expect("a complete body");
             (status, outcome, body.to_bytes())
         })
     }
 
-    fn take_ran(&self) -> Vec<CallerRequest> {
-        std::mem::take(&mut *self.ran.lock().expect("no panic"))
+    fn take_requests(&self) -> Vec<CallerRequest> {
+        std::mem::take(&mut *self.requests.lock().expect("no panic"))
     }
 
-    /// Each answer is a run or a typed refusal, never both and never neither.
+    /// Sends a request and checks that it either ran or got a typed refusal, and not both.
     fn check(&self, request: http::Request<Full<Bytes>>) -> Result<(), TestCaseError> {
         let (status, outcome, body) = self.send(request);
-        let ran = self.take_ran().len();
+        let ran = self.take_requests().len();
         match ran {
             1 => prop_assert_eq!((status, outcome.as_str()), (200, "complete")),
             _ => {
@@ -111,28 +115,28 @@
     }
 }
 
-fn chat(endpoint: &Endpoint) -> http::request::Builder {
+fn chat_request(endpoint: &Endpoint) -> http::request::Builder {
     http::Request::post(format!("{}/v1/chat/completions", endpoint.url))
         .header("authorization", "Bearer good")
 }
 
 #[test]
-fn bodies_headers_and_paths_get_a_run_or_a_typed_refusal() {
+fn arbitrary_bodies_headers_and_paths_run_or_get_a_typed_refusal() {
     let endpoint = Endpoint::start();
     let config = ProptestConfig {
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(6),
         ..ProptestConfig::with_cases(300)
     };
-    let good = br#"{"model":"assistant","messages":[{"role":"user","content":"x"}]}"#;
+    let valid = br#"{"model":"assistant","messages":[{"role":"user","content":"x"}]}"#;
     let mut runner = proptest::test_runner::TestRunner::new(config.clone());
-    let changed = (0..good.len(), any::<u8>());
+    let changed_byte = (0..valid.len(), any::<u8>());
     runner
-        .run(&changed, |(at, byte)| {
-            let mut body = good.to_vec();
+        .run(&changed_byte, |(at, byte)| {
+            let mut body = valid.to_vec();
             body[at] = byte;
             let body = Full::new(Bytes::from(body));
-            endpoint.check(chat(&endpoint).body(body).expect("a request"))
+            endpoint.check(chat_request(&endpoint).body(body).expect("a request"))
         })
         .expect("bodies with a changed byte");
     let mut runner = proptest::test_runner::TestRunner::new(config.clone());
@@ -140,7 +144,7 @@
     runner
         .run(&any_bytes, |body| {
             let body = Full::new(Bytes::from(body));
-            endpoint.check(chat(&endpoint).body(body).expect("a request"))
+            endpoint.check(chat_request(&endpoint).body(body).expect("a request"))
         })
         .expect("any bodies");
     let names = prop::sample::select(vec![
@@ -158,8 +162,8 @@
             let Ok(value) = http::HeaderValue::from_bytes(&value) else {
                 return Ok(());
             };
-            let body = Full::new(Bytes::from_static(good));
-            let mut request = chat(&endpoint).body(body).expect("a request");
+            let body = Full::new(Bytes::from_static(valid));
+            let mut request = chat_request(&endpoint).body(body).expect("a request");
             request.headers_mut().insert(name, value);
             endpoint.check(request)
         })
--- a/crates/sapphiretrack-caller/tests/refusals.rs
+++ b/crates/sapphiretrack-caller/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! What comes over a raw socket and is refused: by the router, or by the HTTP library before it.
+//! Invalid requests over a raw socket are refused by the router, or before it by the HTTP library.
 
 mod common;
 
@@ -9,25 +9,25 @@
 use bytes::Bytes;
 use common::CONTRACT;
 use sapphiretrack_caller::{
-    Answer, CallerHandlers, CallerServer, EntryReply, RequestToken, Settings, WholeAnswer,
+    Answer, BufferedAnswer, CallerHandlers, CallerServer, EntryReply, RequestGuard, Settings,
 };
 use sapphiretrack_core::{Contract, Refusal, RefusalCode, parse_contract};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Who refuses, and with what.
+/// Which layer refuses a request, and how.
 #[derive(Clone, Copy)]
-enum By {
-    /// The router: outcome header, and the typed error with this code.
+enum Refuser {
+    /// The router: with the outcome header and a typed error with this code.
     Router(&'static str),
-    /// The HTTP library, without the outcome header: what came is no HTTP request.
+    /// The HTTP library, without the outcome header: the input is not a valid HTTP request.
     Library,
 }
 
-use By::{Library, Router};
+use Refuser::{Library, Router};
 
-/// First line and further headers, body, status and who refuses.
-const TABLE: &[(&str, &str, u16, By)] = &[
+/// Request line and extra headers, body, expected status, and the layer that refuses.
+const REFUSALS: &[(&str, &str, u16, Refuser)] = &[
     ("GET /nowhere HTTP/1.1", "", 404, Router("unknown_path")),
     ("DELETE /v1/entry HTTP/1.1", "", 404, Router("unknown_path")),
     (
@@ -126,10 +126,10 @@
     ),
 ];
 
-/// Serves callers; counts the runs.
+/// Starts an endpoint; returns it with a counter of the requests that ran.
 fn start() -> (CallerServer, Arc<AtomicU32>) {
-    let ran = Arc::new(AtomicU32::new(0));
-    let runs = ran.clone();
+    let run_count = Arc::new(AtomicU32::new(0));
+    let counter = run_count.clone();
     let contract: Arc<Contract> = Arc::new(parse_contract(CONTRACT).expect("a contract"));
     let handlers = CallerHandlers {
         authenticate: Arc::new(move |key| {
@@ -140,11 +140,11 @@
             addresses: Vec::new(),
             ttl_ms: 1,
         }),
-        begin: Arc::new(|| RequestToken::new(())),
+        track_request: Arc::new(|| RequestGuard::new(())),
         run: Arc::new(move |_| {
-            runs.fetch_add(1, Ordering::Relaxed);
+            counter.fetch_add(1, Ordering::Relaxed);
             Box::pin(async {
-                Answer::Whole(WholeAnswer {
+                Answer::Buffered(BufferedAnswer {
                     status: 200,
                     content_type: String::from("text/plain"),
                     body: Bytes::from_static(b"ran"),
@@ -153,51 +153,57 @@
             })
         }),
         is_stopping: Arc::new(|| false),
-        refused: Arc::new(|_| {}),
+        on_refusal: Arc::new(|_| {}),
     };
     let settings = Settings {
         max_body_bytes: 10_000,
         ..Settings::default()
     };
-    let server = CallerServer::start(&settings, handlers).expect("it starts");
-    (server, ran)
+    let server = CallerServer::start(&settings, handlers).expect("the endpoint starts");
+    (server, run_count)
 }
 
-/// Sends bytes and no more, and reads to the end.
+/// Sends `bytes`, closes the sending side and reads the answer to its end.
 async fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
-    stream.write_all(bytes).await.expect("is sent");
-    stream.shutdown().await.expect("no more is sent");
+    stream.write_all(bytes).await.expect("the request is sent");
+    stream.shutdown().await.expect("the sending side is closed");
     let mut answer = Vec::new();
-    // A connection that is reset after the answer has given the answer.
+    // The connection may be reset after the answer was received.
     drop(stream.read_to_end(&mut answer).await);
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn check(what: &str, answer: &str, status: u16, by: By) {
-    let says = format!("{what:?} is answered {answer:?}");
-    assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{says}");
+fn check(case: &str, answer: &str, status: u16, refuser: Refuser) {
+    let context = format!("{case:?} is answered {answer:?}");
+    assert!(
+        answer.starts_with(&format!("HTTP/1.1 {status} ")),
+        "{context}"
+    );
     let has_outcome = answer.contains("\r\nsapphiretrack-outcome: not-run\r\n");
-    match by {
+    match refuser {
         Router(code) => {
-            assert!(has_outcome, "{says}");
-            assert!(answer.contains(&format!("\"code\":\"{code}\"")), "{says}");
+            assert!(has_outcome, "{context}");
+            assert!(
+                answer.contains(&format!("\"code\":\"{code}\"")),
+                "{context}"
+            );
         }
-        Library => assert!(!has_outcome, "mended: {says}"),
+        Library => assert!(!has_outcome, "the router refused it: {context}"),
     }
 }
 
 #[tokio::test]
-async fn each_refusal_is_what_the_table_says_and_nothing_runs() {
-    let (server, ran) = start();
+async fn invalid_requests_get_the_expected_refusal_and_do_not_run() {
+    let (server, run_count) = start();
     let address = server.local_address();
-    for (head, body, status, by) in TABLE {
+    for (head, body, status, refuser) in REFUSALS {
         let text = format!("{head}\r\nhost: x\r\nauthorization: Bearer good\r\n\r\n{body}");
         check(
             head,
             &exchange(address, text.as_bytes()).await,
             *status,
-            *by,
+            *refuser,
         );
     }
     let no_key = "GET /v1/services/plant/a HTTP/1.1\r\nhost: x\r\n\r\n";
@@ -230,7 +236,7 @@
         431,
         Library,
     );
-    // The body of an answer to HEAD is left out, so there is only the outcome to see.
+    // An answer to HEAD has no body, so that only the outcome header can be checked.
     let head = "HEAD /v1/services/plant/a HTTP/1.1\r\nhost: x\r\n\r\n";
     let answer = exchange(address, head.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 404 "), "{answer:?}");
@@ -238,12 +244,12 @@
         answer.contains("sapphiretrack-outcome: not-run"),
         "{answer:?}"
     );
-    assert_eq!(ran.load(Ordering::Relaxed), 0);
+    assert_eq!(run_count.load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test]
-async fn any_query_is_the_services_own() {
-    let (server, ran) = start();
+async fn any_query_is_passed_to_the_service() {
+    let (server, run_count) = start();
     for query in ["", "?", "?x=%zz", "?a=../b", "?x=%ff&&="] {
         let text = format!(
             "GET /v1/services/plant/a{query} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer good\r\n\r\n"
@@ -254,5 +260,5 @@
             "{query}: {answer}"
         );
     }
-    assert_eq!(ran.load(Ordering::Relaxed), 5);
+    assert_eq!(run_count.load(Ordering::Relaxed), 5);
 }
