--- a/crates/sapphiretrack-caller/src/server.rs
+++ b/crates/sapphiretrack-caller/src/server.rs
@@ -81,7 +81,7 @@
             Answer::Refused(refusal)
         });
         let mut response = respond(answer, guard);
-        // Otherwise the router could close the connection while the next request is being sent on it.
+        // Otherwise the connection could be closed while its next request is being sent.
         if (handlers.is_stopping)() && parts.version <= Version::HTTP_11 {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
--- a/crates/sapphiretrack-operator/src/client.rs
+++ b/crates/sapphiretrack-operator/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls the operators' interface of a router.
+//! A client of a router's operator interface.
 
 use std::time::Duration;
 
@@ -12,27 +12,27 @@
 use snafu::Snafu;
 
 use crate::wire::{
-    ApplyContract, ChangeReply, DrainServer, GoalReply, HistoryLine, SetFencing, SetGoal,
-    ShownContract, Status, StopReply,
+    ApplyContract, ChangeReply, ContractReply, DrainServer, GoalReply, HistoryLine, SetFencing,
+    SetGoal, Status, StopReply,
 };
 
 /// Why a call gave no reply.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// No connection: nothing was done.
+    /// The request was not sent: nothing was done.
     #[snafu(display("the router at {url} cannot be reached: {reason}; hint: check --router"))]
     Unreachable {
-        /// The router.
+        /// The URL of the router.
         url: String,
-        /// What the transport said.
+        /// The error of the transport or of the encoding.
         reason: String,
     },
-    /// The reply was lost: the call may have had an effect.
+    /// The reply was lost or is invalid: the call may have had an effect.
     #[snafu(display("no reply from the router at {url}: {reason}"))]
     ReplyLost {
-        /// The router.
+        /// The URL of the router.
         url: String,
-        /// What happened.
+        /// What went wrong.
         reason: String,
     },
     /// The router refused the call.
@@ -40,12 +40,12 @@
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The router's message.
+        /// The message in the reply, or else the status text.
         message: String,
     },
 }
 
-/// Calls one router.
+/// Calls the operator interface of one router.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     url: String,
@@ -55,12 +55,14 @@
 }
 
 impl OperatorClient {
-    /// A client of the router at `url` (`http://IP:PORT`) with an operator's key.
+    /// Creates a client of the router at `url` (`http://IP:PORT`) that authenticates with the
+    /// operators' key. Each call has at most `timeout_ms` until the response headers.
     pub fn new(url: &str, key: &str, timeout_ms: u64) -> Self {
         Self::with_trust(url, key, timeout_ms, &Trust::default())
     }
 
-    /// A client that also connects by TLS (`https://IP:PORT`) to certificates that it trusts.
+    /// Creates a client that also connects over TLS (`https://IP:PORT`), to servers whose
+    /// certificates `trust` accepts.
     pub fn with_trust(url: &str, key: &str, timeout_ms: u64, trust: &Trust) -> Self {
         Self {
             url: url.trim_end_matches('/').to_owned(),
@@ -82,32 +84,32 @@
         self.post("/v1/drains", request).await
     }
 
-    /// What came of a change.
+    /// Asks for the outcome of a change.
     pub async fn outcome_of(&self, change_id: &str) -> Result<ChangeReply, OperatorError> {
         self.get(&format!("/v1/changes/{change_id}")).await
     }
 
-    /// A customer's contract.
-    pub async fn show(&self, customer: &str) -> Result<ShownContract, OperatorError> {
+    /// Reads a customer's contract.
+    pub async fn show(&self, customer: &str) -> Result<ContractReply, OperatorError> {
         self.get(&format!("/v1/contracts/{customer}")).await
     }
 
-    /// A customer's contract as it stood at a configuration version.
+    /// Reads a customer's contract as of a configuration version.
     pub async fn show_at(
         &self,
         customer: &str,
         version: u64,
-    ) -> Result<ShownContract, OperatorError> {
+    ) -> Result<ContractReply, OperatorError> {
         self.get(&format!("/v1/contracts/{customer}?version={version}"))
             .await
     }
 
-    /// All changes.
+    /// Lists all changes.
     pub async fn history(&self) -> Result<Vec<HistoryLine>, OperatorError> {
         self.get("/v1/history").await
     }
 
-    /// The router's view.
+    /// Reads the status of the fleet as this router sees it.
     pub async fn status(&self) -> Result<Status, OperatorError> {
         self.get("/v1/status").await
     }
@@ -117,7 +119,7 @@
         self.post("/v1/stop", &()).await
     }
 
-    /// The router's metrics as text.
+    /// Reads the router's metrics in the OpenMetrics text format.
     pub async fn metrics(&self) -> Result<String, OperatorError> {
         let body = self
             .call_bytes(http::Method::GET, "/metrics", Bytes::new())
@@ -130,7 +132,7 @@
         self.post("/v1/goals", request).await
     }
 
-    /// Says whether a pool's engines check fencing numbers.
+    /// Sets whether a pool's engines check fencing numbers.
     pub async fn set_fencing(&self, request: &SetFencing) -> Result<GoalReply, OperatorError> {
         self.post("/v1/fencing", request).await
     }
@@ -187,7 +189,7 @@
         body: Bytes,
     ) -> Result<Bytes, OperatorError> {
         let url = self.url.as_str();
-        let lost = |reason: String| ReplyLostSnafu { url, reason }.build();
+        let reply_lost = |reason: String| ReplyLostSnafu { url, reason }.build();
         let request = http::Request::builder()
             .method(method)
             .uri(format!("{url}{path}"))
@@ -211,12 +213,14 @@
                 }
                 .fail();
             }
-            Ok(Err(error)) => return Err(lost(error.to_string())),
-            Err(_) => return Err(lost(String::from("none in time"))),
+            Ok(Err(error)) => return Err(reply_lost(error.to_string())),
+            Err(_) => return Err(reply_lost(String::from("it timed out"))),
         };
         let status = response.status();
         let body = response.into_body().collect().await;
-        let body = body.map_err(|error| lost(error.to_string()))?.to_bytes();
+        let body = body
+            .map_err(|error| reply_lost(error.to_string()))?
+            .to_bytes();
         if !status.is_success() {
             let parsed: Result<serde_json::Value, _> = serde_json::from_slice(&body);
             let message = parsed
--- a/crates/sapphiretrack-operator/src/server.rs
+++ b/crates/sapphiretrack-operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The operators' endpoint, on dropshot.
+//! The operators' endpoint, built on dropshot.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,63 +14,63 @@
 use snafu::Snafu;
 
 use crate::wire::{
-    ApplyContract, ChangeReply, DrainServer, GoalReply, HistoryLine, SetFencing, SetGoal,
-    ShowContract, ShownContract, Status, StopReply,
+    ApplyContract, ChangeReply, ContractQuery, ContractReply, DrainServer, GoalReply, HistoryLine,
+    SetFencing, SetGoal, Status, StopReply,
 };
 
-/// The largest body that operators may send.
+/// The largest request body of an operator, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Answers a call of an operator.
+/// Handles a call of an operator.
 pub type Handler<Request, Reply> = Arc<dyn Fn(Request) -> BoxFuture<'static, Reply> + Send + Sync>;
 
-/// What the daemon does for operators; an error is a text for the operator.
+/// The functions of the daemon that the endpoint calls; an error is a message for the operator.
 #[derive(Clone)]
 pub struct OperatorHandlers {
-    /// Whether a key is an operator's.
+    /// Checks the operators' key.
     pub authenticate: Arc<dyn Fn(&str) -> bool + Send + Sync>,
     /// Applies a contract.
     pub apply: Handler<ApplyContract, ChangeReply>,
     /// Starts or ends a drain.
     pub drain: Handler<DrainServer, ChangeReply>,
-    /// What came of the change of an id.
+    /// Finds the outcome of a change by its id.
     pub outcome_of: Handler<String, ChangeReply>,
-    /// A customer's contract.
-    pub show: Handler<ShowContract, Result<Option<ShownContract>, String>>,
-    /// All changes.
+    /// Reads a customer's contract; `None` if there is none.
+    pub show: Handler<ContractQuery, Result<Option<ContractReply>, String>>,
+    /// Lists all changes.
     pub history: Handler<(), Result<Vec<HistoryLine>, String>>,
-    /// The router's view.
+    /// Reads the status of the fleet as this router sees it.
     pub status: Arc<dyn Fn() -> Status + Send + Sync>,
     /// Starts the planned stop of this router.
     pub stop: Arc<dyn Fn() -> StopReply + Send + Sync>,
-    /// The metrics as text.
+    /// Renders the metrics in the OpenMetrics text format.
     pub metrics: Arc<dyn Fn() -> String + Send + Sync>,
     /// Sets the desired state of a backend server.
     pub set_goal: Handler<SetGoal, GoalReply>,
-    /// Says whether a pool's engines check fencing numbers.
+    /// Sets whether a pool's engines check fencing numbers.
     pub set_fencing: Handler<SetFencing, GoalReply>,
 }
 
-/// Why the endpoint did not start.
+/// Why the endpoint failed to start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// A path cannot be served.
-    #[snafu(display("the operators' interface is ill-described: {source}"))]
-    Describe {
-        /// Why.
+    /// A handler cannot be registered.
+    #[snafu(display("a handler of the operators' endpoint cannot be registered: {source}"))]
+    Register {
+        /// The cause.
         source: ApiDescriptionRegisterError,
     },
-    /// The address, or the certificate, cannot be used.
+    /// The address cannot be bound, or the certificate cannot be used.
     #[snafu(display("the operators' endpoint cannot start on {address}: {reason}"))]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the library said.
+        /// The error of the HTTP library.
         reason: String,
     },
 }
 
-/// Starts the endpoint.
+/// Starts the endpoint. It serves HTTPS if `tls` names the files of a certificate and its key.
 pub fn start(
     address: SocketAddr,
     tls: Option<(PathBuf, PathBuf)>,
@@ -88,7 +88,7 @@
         .and_then(|()| api.register(metrics))
         .and_then(|()| api.register(set_goal))
         .and_then(|()| api.register(set_fencing));
-    registered.map_err(|source| StartError::Describe { source })?;
+    registered.map_err(|source| StartError::Register { source })?;
     let config = ConfigDropshot {
         bind_address: address,
         default_request_body_max_bytes: MAX_BODY_BYTES,
@@ -114,19 +114,19 @@
 
 type Context = RequestContext<OperatorHandlers>;
 
-/// A change's id in a path.
+/// The change id in a path.
 #[derive(Deserialize, JsonSchema)]
 struct ChangePath {
     change_id: String,
 }
 
-/// A customer's name in a path.
+/// The customer's name in a path.
 #[derive(Deserialize, JsonSchema)]
 struct CustomerPath {
     customer: String,
 }
 
-/// Which version of a contract is asked for.
+/// The configuration version as of which a contract is requested.
 #[derive(Deserialize, JsonSchema)]
 struct VersionQuery {
     version: Option<u64>,
@@ -168,7 +168,7 @@
     ))
 }
 
-/// Says whether a pool's engines check fencing numbers.
+/// Sets whether a pool's engines check fencing numbers.
 #[endpoint { method = POST, path = "/v1/fencing" }]
 async fn set_fencing(
     context: Context,
@@ -180,7 +180,7 @@
     ))
 }
 
-/// Tells what came of a change.
+/// Returns the outcome of a change.
 #[endpoint { method = GET, path = "/v1/changes/{change_id}" }]
 async fn outcome_of(
     context: Context,
@@ -192,20 +192,20 @@
     ))
 }
 
-/// Shows a contract.
+/// Returns a contract.
 #[endpoint { method = GET, path = "/v1/contracts/{customer}" }]
 async fn show(
     context: Context,
     path: Path<CustomerPath>,
     query: Query<VersionQuery>,
-) -> Result<HttpResponseOk<ShownContract>, HttpError> {
+) -> Result<HttpResponseOk<ContractReply>, HttpError> {
     check_key(&context)?;
     let customer = path.into_inner().customer;
-    let show = ShowContract {
+    let query = ContractQuery {
         customer: customer.clone(),
         version: query.into_inner().version,
     };
-    match (context.context().show)(show).await {
+    match (context.context().show)(query).await {
         Ok(Some(contract)) => Ok(HttpResponseOk(contract)),
         Ok(None) => {
             let message = format!("there is no contract of customer {customer:?}");
@@ -229,7 +229,7 @@
         .map_err(unavailable)
 }
 
-/// Tells the router's view.
+/// Returns the status of the fleet as this router sees it.
 #[endpoint { method = GET, path = "/v1/status" }]
 async fn status(context: Context) -> Result<HttpResponseOk<Status>, HttpError> {
     check_key(&context)?;
@@ -243,7 +243,7 @@
     Ok(HttpResponseOk((context.context().stop)()))
 }
 
-/// Gives the metrics; they need no key, so that a collector can read them.
+/// Returns the metrics; they require no key, so that a collector can read them.
 #[endpoint { method = GET, path = "/metrics", unpublished = true }]
 async fn metrics(context: Context) -> Result<http::Response<Body>, HttpError> {
     let body = Body::with_content((context.context().metrics)());
--- a/crates/sapphiretrack-operator/src/wire.rs
+++ b/crates/sapphiretrack-operator/src/wire.rs
@@ -1,4 +1,4 @@
-//! The operators' messages, JSON over HTTP.
+//! Messages of the operator interface, JSON over HTTP.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -6,11 +6,12 @@
 /// Applies a contract: `POST /v1/contracts`.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct ApplyContract {
-    /// Drawn by the operator's tool, so that a lost reply can be settled.
+    /// A random id chosen by the operator's tool, so that the outcome can be asked for if the reply
+    /// is lost.
     pub change_id: String,
-    /// Who applies it.
+    /// The name of the operator who applies it.
     pub operator: String,
-    /// The version at which the operator saw the contract; 0 for a new one.
+    /// The version of the contract that the operator based the change on; 0 for a new contract.
     pub seen_version: u64,
     /// The contract as TOML.
     pub contract_toml: String,
@@ -19,118 +20,119 @@
 /// Starts or ends the drain of a backend server: `POST /v1/drains`.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct DrainServer {
-    /// Drawn by the operator's tool, so that a lost reply can be settled.
+    /// A random id chosen by the operator's tool, so that the outcome can be asked for if the reply
+    /// is lost.
     pub change_id: String,
-    /// Who drains it.
+    /// The name of the operator who drains it.
     pub operator: String,
     /// The server's name.
     pub server: String,
-    /// Whether it drains.
+    /// Whether the drain starts (true) or ends (false).
     pub draining: bool,
 }
 
-/// What came of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum ChangeReply {
-    /// It holds.
+    /// The change is committed.
     Accepted {
-        /// The configuration version that it made.
+        /// The configuration version that it created.
         version: u64,
     },
-    /// It was not applied.
+    /// The change was not applied.
     Refused {
-        /// Why.
+        /// The reason.
         reason: String,
-        /// The version at which the contract stands, if another change came first.
+        /// The current version of the contract, if another change was committed first.
         current_version: Option<u64>,
-        /// What differs from the contract that the operator saw, a field each.
+        /// The differences from the contract that the operator saw, one field per entry.
         #[serde(default)]
         differences: Vec<String>,
     },
-    /// It may or may not hold: ask `GET /v1/changes/{change_id}`.
+    /// The change may or may not be committed: ask `GET /v1/changes/{change_id}`.
     Unknown {
         /// The id to ask with.
         change_id: String,
-        /// Why it is not known.
+        /// Why the outcome is unknown.
         reason: String,
     },
 }
 
-/// Asks for a contract.
+/// A query for a contract.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ShowContract {
+pub struct ContractQuery {
     /// The customer.
     pub customer: String,
-    /// As it stood at this configuration version; none for now.
+    /// The configuration version as of which the contract is requested; `None` for the current one.
     pub version: Option<u64>,
 }
 
-/// A contract: `GET /v1/contracts/{customer}`, with `?version=N` as it stood then.
+/// A contract: `GET /v1/contracts/{customer}`, with `?version=N` as of that version.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
-pub struct ShownContract {
-    /// The version at which it last changed.
+pub struct ContractReply {
+    /// The version in which it last changed.
     pub version: u64,
     /// The contract as TOML.
     pub contract_toml: String,
 }
 
-/// A line of `GET /v1/history`.
+/// A change in the reply to `GET /v1/history`.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct HistoryLine {
-    /// The configuration version that the change made.
+    /// The configuration version that the change created.
     pub version: u64,
-    /// The change's id.
+    /// The id of the change.
     pub change_id: String,
-    /// Who made it.
+    /// The name of the operator who made the change.
     pub operator: String,
-    /// When, in milliseconds since 1970.
+    /// The time of the change, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What it changed.
+    /// What the change affected.
     pub what: String,
 }
 
-/// The router's view: `GET /v1/status`.
+/// The status of the fleet as one router sees it: `GET /v1/status`.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct Status {
-    /// The router that answers.
+    /// The name of the router that answers.
     pub router: String,
     /// The configuration version that it has in force.
     pub config_version: u64,
-    /// Whether it has read a configuration since its start; without one it refuses new work.
+    /// Whether it has read a configuration since its start; until then it refuses new requests.
     pub config_known: bool,
-    /// Whether it reached the platform lately.
+    /// Whether it reached the platform recently.
     pub platform_reached: bool,
-    /// Whether it is stopping.
+    /// Whether it is in a planned stop.
     pub stopping: bool,
     /// Callers' requests in flight on it.
     pub in_flight: u64,
-    /// The routers that it sees.
-    pub routers: Vec<RouterLine>,
-    /// The backend servers that it sees.
-    pub servers: Vec<ServerLine>,
+    /// The routers that it knows.
+    pub routers: Vec<RouterStatus>,
+    /// The backend servers that it knows.
+    pub servers: Vec<ServerStatus>,
 }
 
-/// A router in a status.
+/// A router in a [`Status`].
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
-pub struct RouterLine {
+pub struct RouterStatus {
     /// Its name.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
     /// `live` or `leaving`.
     pub state: String,
-    /// The configuration version that it has in force, as last seen.
+    /// The last reported configuration version that it has in force.
     pub config_version: u64,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: String,
-    /// Where operators reach it.
+    /// The address for operators.
     pub operator_address: String,
 }
 
-/// A backend server in a status.
+/// A backend server in a [`Status`].
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
-pub struct ServerLine {
+pub struct ServerStatus {
     /// Its name.
     pub name: String,
     /// Its availability zone.
@@ -139,16 +141,16 @@
     pub pool: String,
     /// `live` or `leaving`.
     pub state: String,
-    /// Requests in flight by all routers, as last seen.
+    /// The last reported number of requests in flight from all routers.
     pub in_flight: u32,
-    /// The router that counts its slots.
+    /// The name of the router that manages its slots; empty if that router is not known.
     pub steward: String,
 }
 
 /// The reply to a planned stop: `POST /v1/stop`.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct StopReply {
-    /// Callers' requests that the router still has to end.
+    /// The number of callers' requests that the router still has to finish.
     pub in_flight: u64,
 }
 
@@ -157,30 +159,30 @@
 pub struct SetGoal {
     /// The server's name.
     pub server: String,
-    /// The model that it shall serve.
+    /// The model to serve.
     pub model: Option<String>,
     /// The version of the model.
     pub version: Option<String>,
-    /// The adapters that it shall have loaded.
+    /// The adapters to load.
     pub adapters: Option<Vec<String>>,
     /// `mixed`, `prefill` or `decode`.
     pub role: Option<String>,
-    /// Whether it shall stop.
+    /// Whether the server should be stopped.
     pub stopped: bool,
 }
 
-/// Says whether a pool's engines check fencing numbers: `POST /v1/fencing`.
+/// Sets whether a pool's engines check fencing numbers: `POST /v1/fencing`.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct SetFencing {
     /// The pool.
     pub pool: String,
-    /// Whether its engines refuse an order with an old number.
+    /// Whether its engines refuse an order with an outdated fencing number.
     pub checks: bool,
 }
 
-/// What came of setting a goal or a pool's fencing; both may be repeated.
+/// The reply to [`SetGoal`] and [`SetFencing`]; both calls may safely be repeated.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct GoalReply {
-    /// Why it is not set, or may not be; none if it is.
+    /// Why the call failed or its effect is unknown; `None` if it succeeded.
     pub problem: Option<String>,
 }
