--- a/crates/sapphiretrack-cli/src/callers.rs
+++ b/crates/sapphiretrack-cli/src/callers.rs
@@ -1,4 +1,4 @@
-//! Commands that act as a caller.
+//! Commands that send requests as a caller.
 
 use std::io::Write;
 
@@ -6,11 +6,11 @@
 use sapphiretrack_caller::{CallerClient, RequestOptions};
 use snafu::ResultExt;
 
-use crate::command::{Chat, Options, like};
+use crate::command::{Chat, Options, with_scheme_of};
 use crate::error::{CallerSnafu, CliError, RefusedSnafu, UsageSnafu};
 use crate::table::json;
 
-/// Asks which routers to connect to.
+/// Looks up the routers that a caller should connect to.
 pub(crate) async fn entry(options: &Options, zone: Option<&str>) -> Result<String, CliError> {
     let reply = CallerClient::with_trust(&options.trust)
         .entry(&options.caller_url, zone)
@@ -19,14 +19,14 @@
     if options.json {
         return Ok(json(&reply));
     }
-    let mut text = format!("good for {} ms\n", reply.ttl_ms);
+    let mut text = format!("valid for {} ms\n", reply.ttl_ms);
     for address in reply.addresses {
         text.push_str(&format!("{address}\n"));
     }
     Ok(text)
 }
 
-/// Sends one chat, to a router that the entry lookup names, and streams the answer.
+/// Sends one chat to the first router of the entry lookup and prints the answer as it arrives.
 pub(crate) async fn chat(options: &Options, chat: &Chat) -> Result<String, CliError> {
     let client = CallerClient::with_trust(&options.trust);
     let entry = client
@@ -35,7 +35,7 @@
         .context(CallerSnafu)?;
     let Some(address) = entry.addresses.first() else {
         return UsageSnafu {
-            problem: "the lookup names no router",
+            problem: "the lookup returned no router",
         }
         .fail();
     };
@@ -51,11 +51,11 @@
         class: chat.class.clone(),
         ..RequestOptions::default()
     };
-    let url = like(&options.caller_url, address);
-    let show = !options.json;
+    let url = with_scheme_of(&options.caller_url, address);
+    let prints_text = !options.json;
     let answer = client
         .chat(&url, Bytes::from(body.to_string()), &request, |text| {
-            if show {
+            if prints_text {
                 print!("{text}");
                 drop(std::io::stdout().flush());
             }
--- a/crates/sapphiretrack-cli/src/command.rs
+++ b/crates/sapphiretrack-cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line, read and checked.
+//! Parses and checks the command line.
 
 use std::path::{Path, PathBuf};
 
@@ -9,28 +9,28 @@
 
 use crate::error::{ArgumentsSnafu, CliError, TrustSnafu, UsageSnafu};
 
-/// What every command may need.
+/// Options of all commands.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// Operators' address of a router.
+    /// The URL of a router's operator interface.
     pub(crate) router: String,
     /// The operators' key.
     pub(crate) operator_key: String,
-    /// Who the operator is.
+    /// The name of the operator, for the history of changes.
     pub(crate) operator: String,
-    /// Callers' address of a router.
+    /// The URL of a router's caller interface.
     pub(crate) caller_url: String,
-    /// A key of a contract.
+    /// A caller key of a contract.
     pub(crate) caller_key: String,
-    /// Which certificates are trusted.
+    /// The trusted certificates.
     pub(crate) trust: Trust,
-    /// How long `--wait` waits.
+    /// How long `--wait` waits, in milliseconds.
     pub(crate) wait_limit_ms: u64,
-    /// Whether to print JSON.
+    /// Whether to print JSON instead of text.
     pub(crate) json: bool,
 }
 
-/// What to do.
+/// The command to run.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
     ContractApply(ContractApply),
@@ -41,7 +41,7 @@
     RouterStop { name: String },
     ServerList,
     ServerDrain(ServerDrain),
-    Status(StatusWanted),
+    Status(StatusQuery),
     Entry { zone: Option<String> },
     Chat(Chat),
     Explain(Explain),
@@ -52,11 +52,11 @@
 /// Applies a contract file.
 #[derive(Clone, Debug)]
 pub(crate) struct ContractApply {
-    /// The TOML file.
+    /// The contract file (TOML).
     pub(crate) file: PathBuf,
-    /// The version at which the operator saw the contract; none for the current one.
+    /// The version of the contract that the file is based on; `None` for the current one.
     pub(crate) seen_version: Option<u64>,
-    /// Whether to wait until it is in force on every router.
+    /// Whether to wait until the contract is in force on every router.
     pub(crate) wait: bool,
 }
 
@@ -64,31 +64,31 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ContractShow {
     pub(crate) customer: String,
-    /// As it stood at this version; none for now.
+    /// The configuration version to show the contract at; `None` for the current one.
     pub(crate) version: Option<u64>,
 }
 
 /// Drains a backend server.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerDrain {
-    /// The server.
+    /// The name of the server.
     pub(crate) server: String,
-    /// Whether to end the drain instead.
+    /// Whether to end a drain instead of starting one.
     pub(crate) undo: bool,
-    /// Whether to wait until no router has a request in flight there.
+    /// Whether to wait until no router has a request in flight on the server.
     pub(crate) wait: bool,
-    /// Whether to order it to stop once it is empty.
+    /// Whether to stop the server once it has no request in flight.
     pub(crate) stop: bool,
 }
 
-/// Shows the status of the fleet as one router sees it.
+/// Shows the status of the fleet as seen by one router.
 #[derive(Clone, Debug)]
-pub(crate) struct StatusWanted {
-    /// Whether to wait until the router answers and sees as many live VMs as wanted.
+pub(crate) struct StatusQuery {
+    /// Whether to wait until the router answers and sees at least the given numbers of live VMs.
     pub(crate) wait: bool,
-    /// Live routers to wait for.
+    /// The number of live routers to wait for.
     pub(crate) routers: usize,
-    /// Live backend servers to wait for.
+    /// The number of live backend servers to wait for.
     pub(crate) servers: usize,
 }
 
@@ -102,16 +102,16 @@
     pub(crate) text: String,
 }
 
-/// Tells the story of one request from logs.
+/// Explains from logs how one request was handled.
 #[derive(Clone, Debug)]
 pub(crate) struct Explain {
-    /// The request's id.
+    /// The id of the request.
     pub(crate) id: String,
-    /// Logs of routers; standard input if there are none.
+    /// Log files of routers; standard input if empty.
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// Reads the command line.
+/// Parses the command line into a command and the options.
 pub(crate) fn parse_command(mut arguments: Arguments) -> Result<(Command, Options), CliError> {
     let options = parse_options(&mut arguments)?;
     let noun = arguments
@@ -119,54 +119,54 @@
         .context(ArgumentsSnafu)?
         .unwrap_or_default();
     let command = match noun.as_str() {
-        "contract" => contract(&mut arguments)?,
-        "change" => match verb(&mut arguments)?.as_str() {
+        "contract" => parse_contract_command(&mut arguments)?,
+        "change" => match subcommand(&mut arguments)?.as_str() {
             "show" => Command::ChangeShow {
-                change_id: free(&mut arguments, "CHANGE-ID")?,
+                change_id: positional(&mut arguments, "CHANGE-ID")?,
             },
-            other => return unknown("change", other),
+            other => return unknown_command("change", other),
         },
-        "router" => match verb(&mut arguments)?.as_str() {
+        "router" => match subcommand(&mut arguments)?.as_str() {
             "list" => Command::RouterList,
             "stop" => Command::RouterStop {
-                name: free(&mut arguments, "NAME")?,
+                name: positional(&mut arguments, "NAME")?,
             },
-            other => return unknown("router", other),
+            other => return unknown_command("router", other),
         },
-        "server" => match verb(&mut arguments)?.as_str() {
+        "server" => match subcommand(&mut arguments)?.as_str() {
             "list" => Command::ServerList,
             "drain" => Command::ServerDrain(ServerDrain {
                 undo: arguments.contains("--undo"),
                 wait: arguments.contains("--wait"),
                 stop: arguments.contains("--stop"),
-                server: free(&mut arguments, "NAME")?,
+                server: positional(&mut arguments, "NAME")?,
             }),
-            "set" => Command::ServerSet(server_set(&mut arguments)?),
-            other => return unknown("server", other),
+            "set" => Command::ServerSet(parse_server_set(&mut arguments)?),
+            other => return unknown_command("server", other),
         },
-        "pool" => match verb(&mut arguments)?.as_str() {
-            "fencing" => Command::PoolFencing(pool_fencing(&mut arguments)?),
-            other => return unknown("pool", other),
+        "pool" => match subcommand(&mut arguments)?.as_str() {
+            "fencing" => Command::PoolFencing(parse_pool_fencing(&mut arguments)?),
+            other => return unknown_command("pool", other),
         },
-        "status" => Command::Status(status(&mut arguments)?),
+        "status" => Command::Status(parse_status(&mut arguments)?),
         "entry" => Command::Entry {
-            zone: option(&mut arguments, "--zone")?,
+            zone: optional_value(&mut arguments, "--zone")?,
         },
         "chat" => Command::Chat(Chat {
             model: arguments
                 .value_from_str("--model")
                 .context(ArgumentsSnafu)?,
-            workspace: option(&mut arguments, "--workspace")?,
-            chat: option(&mut arguments, "--chat")?,
-            class: option(&mut arguments, "--class")?,
-            text: free(&mut arguments, "TEXT")?,
+            workspace: optional_value(&mut arguments, "--workspace")?,
+            chat: optional_value(&mut arguments, "--chat")?,
+            class: optional_value(&mut arguments, "--class")?,
+            text: positional(&mut arguments, "TEXT")?,
         }),
         "explain" => {
-            let id = free(&mut arguments, "ID")?;
+            let id = positional(&mut arguments, "ID")?;
             let files = arguments.finish().into_iter().map(PathBuf::from).collect();
             return Ok((Command::Explain(Explain { id, files }), options));
         }
-        other => return unknown("sapphiretrack", other),
+        other => return unknown_command("sapphiretrack", other),
     };
     match arguments.finish().first() {
         None => Ok((command, options)),
@@ -177,7 +177,7 @@
     }
 }
 
-fn status(arguments: &mut Arguments) -> Result<StatusWanted, CliError> {
+fn parse_status(arguments: &mut Arguments) -> Result<StatusQuery, CliError> {
     let routers: Option<usize> = arguments
         .opt_value_from_str("--routers")
         .context(ArgumentsSnafu)?;
@@ -189,29 +189,29 @@
         let problem = "--routers and --servers go with --wait";
         return UsageSnafu { problem }.fail();
     }
-    Ok(StatusWanted {
+    Ok(StatusQuery {
         wait,
         routers: routers.unwrap_or(1),
         servers: servers.unwrap_or(0),
     })
 }
 
-fn server_set(arguments: &mut Arguments) -> Result<SetGoal, CliError> {
-    let adapters = option(arguments, "--adapters")?;
+fn parse_server_set(arguments: &mut Arguments) -> Result<SetGoal, CliError> {
+    let adapters = optional_value(arguments, "--adapters")?;
     Ok(SetGoal {
-        model: option(arguments, "--model")?,
-        version: option(arguments, "--model-version")?,
+        model: optional_value(arguments, "--model")?,
+        version: optional_value(arguments, "--model-version")?,
         adapters: adapters.map(|names| {
             let names = names.split(',').filter(|name| !name.is_empty());
             names.map(str::to_owned).collect()
         }),
-        role: option(arguments, "--role")?,
+        role: optional_value(arguments, "--role")?,
         stopped: arguments.contains("--stopped"),
-        server: free(arguments, "NAME")?,
+        server: positional(arguments, "NAME")?,
     })
 }
 
-fn pool_fencing(arguments: &mut Arguments) -> Result<SetFencing, CliError> {
+fn parse_pool_fencing(arguments: &mut Arguments) -> Result<SetFencing, CliError> {
     let checks = arguments.contains("--checks");
     let ignores = arguments.contains("--ignores");
     if checks == ignores {
@@ -219,13 +219,13 @@
         return UsageSnafu { problem }.fail();
     }
     Ok(SetFencing {
-        pool: free(arguments, "POOL")?,
+        pool: positional(arguments, "POOL")?,
         checks,
     })
 }
 
-fn contract(arguments: &mut Arguments) -> Result<Command, CliError> {
-    match verb(arguments)?.as_str() {
+fn parse_contract_command(arguments: &mut Arguments) -> Result<Command, CliError> {
+    match subcommand(arguments)?.as_str() {
         "apply" => {
             let new = arguments.contains("--new");
             let seen: Option<u64> = arguments
@@ -234,17 +234,17 @@
             Ok(Command::ContractApply(ContractApply {
                 seen_version: if new { Some(0) } else { seen },
                 wait: arguments.contains("--wait"),
-                file: PathBuf::from(free(arguments, "FILE")?),
+                file: PathBuf::from(positional(arguments, "FILE")?),
             }))
         }
         "show" => Ok(Command::ContractShow(ContractShow {
             version: arguments
                 .opt_value_from_str("--version")
                 .context(ArgumentsSnafu)?,
-            customer: free(arguments, "CUSTOMER")?,
+            customer: positional(arguments, "CUSTOMER")?,
         })),
         "history" => Ok(Command::ContractHistory),
-        other => unknown("contract", other),
+        other => unknown_command("contract", other),
     }
 }
 
@@ -252,24 +252,24 @@
     let wait_limit_ms: Option<u64> = arguments
         .opt_value_from_str("--wait-limit-ms")
         .context(ArgumentsSnafu)?;
-    let trust = match setting(arguments, "--tls-ca", "")?.as_str() {
+    let trust = match flag_or_env(arguments, "--tls-ca", "")?.as_str() {
         "" => Trust::default(),
         file => Trust::from_pem_file(Path::new(file)).context(TrustSnafu)?,
     };
     Ok(Options {
         trust,
-        router: setting(arguments, "--router", "http://127.0.0.1:8081")?,
-        operator_key: setting(arguments, "--operator-key", "")?,
-        operator: setting(arguments, "--operator", "operator")?,
-        caller_url: setting(arguments, "--caller-url", "http://127.0.0.1:8080")?,
-        caller_key: setting(arguments, "--caller-key", "")?,
+        router: flag_or_env(arguments, "--router", "http://127.0.0.1:8081")?,
+        operator_key: flag_or_env(arguments, "--operator-key", "")?,
+        operator: flag_or_env(arguments, "--operator", "operator")?,
+        caller_url: flag_or_env(arguments, "--caller-url", "http://127.0.0.1:8080")?,
+        caller_key: flag_or_env(arguments, "--caller-key", "")?,
         wait_limit_ms: wait_limit_ms.unwrap_or(30_000),
         json: arguments.contains("--json"),
     })
 }
 
-/// The URL of an address that is served the same way, plain or by TLS, as another URL.
-pub(crate) fn like(url: &str, address: &str) -> String {
+/// Builds the URL of an address with the scheme of another URL, `http` or `https`.
+pub(crate) fn with_scheme_of(url: &str, address: &str) -> String {
     let scheme = if url.starts_with("https://") {
         "https"
     } else {
@@ -278,8 +278,8 @@
     format!("{scheme}://{address}")
 }
 
-/// A flag, else its environment variable, else the default.
-fn setting(
+/// The value of a flag, or else of its environment variable, or else the default.
+fn flag_or_env(
     arguments: &mut Arguments,
     flag: &'static str,
     default: &str,
@@ -290,22 +290,25 @@
             .replace('-', "_")
             .to_uppercase()
     );
-    let value = option(arguments, flag)?.or_else(|| std::env::var(variable).ok());
+    let value = optional_value(arguments, flag)?.or_else(|| std::env::var(variable).ok());
     Ok(value.unwrap_or_else(|| default.to_owned()))
 }
 
-fn option(arguments: &mut Arguments, flag: &'static str) -> Result<Option<String>, CliError> {
+fn optional_value(
+    arguments: &mut Arguments,
+    flag: &'static str,
+) -> Result<Option<String>, CliError> {
     arguments.opt_value_from_str(flag).context(ArgumentsSnafu)
 }
 
-fn verb(arguments: &mut Arguments) -> Result<String, CliError> {
+fn subcommand(arguments: &mut Arguments) -> Result<String, CliError> {
     Ok(arguments
         .subcommand()
         .context(ArgumentsSnafu)?
         .unwrap_or_default())
 }
 
-fn free(arguments: &mut Arguments, name: &str) -> Result<String, CliError> {
+fn positional(arguments: &mut Arguments, name: &str) -> Result<String, CliError> {
     let value: Option<String> = arguments.opt_free_from_str().context(ArgumentsSnafu)?;
     match value {
         Some(value) => Ok(value),
@@ -316,7 +319,7 @@
     }
 }
 
-fn unknown<T>(noun: &str, word: &str) -> Result<T, CliError> {
+fn unknown_command<T>(noun: &str, word: &str) -> Result<T, CliError> {
     let problem = match word {
         "" => format!("{noun}: a command is missing"),
         word => format!("{noun}: there is no command {word:?}"),
--- a/crates/sapphiretrack-cli/src/contracts.rs
+++ b/crates/sapphiretrack-cli/src/contracts.rs
@@ -1,4 +1,4 @@
-//! Commands about contracts and changes.
+//! Commands for contracts and configuration changes.
 
 use std::time::{Duration, Instant};
 
@@ -13,27 +13,27 @@
 };
 use crate::table::{json, table};
 
-/// How long one call to a router may take.
+/// The longest time of a call to a router, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 15_000;
-/// How often `--wait` looks.
+/// The interval at which `--wait` polls the status.
 const WAIT_POLL: Duration = Duration::from_millis(100);
 
-/// A client of the router that the options name.
+/// Creates a client of the router given by `--router`.
 pub(crate) fn client(options: &Options) -> OperatorClient {
-    client_of(options, &options.router)
+    client_for_url(options, &options.router)
 }
 
-/// A client of the router with this operators' URL.
-pub(crate) fn client_of(options: &Options, url: &str) -> OperatorClient {
+/// Creates a client of the router whose operator interface is at `url`.
+pub(crate) fn client_for_url(options: &Options, url: &str) -> OperatorClient {
     OperatorClient::with_trust(url, &options.operator_key, CALL_TIMEOUT_MS, &options.trust)
 }
 
-/// An id for a change.
+/// Creates a random id for a change.
 pub(crate) fn new_change_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
-/// Applies a contract.
+/// Applies a contract file.
 pub(crate) async fn apply(options: &Options, apply: &ContractApply) -> Result<String, CliError> {
     let file = apply.file.as_path();
     let contract_toml = std::fs::read_to_string(file).context(ReadFileSnafu { file })?;
@@ -50,12 +50,12 @@
         contract_toml,
     };
     let reply = client.apply(&request).await;
-    let version = settle(&client, reply, &request.change_id).await?;
+    let version = resolve_outcome(&client, reply, &request.change_id).await?;
     let accepted = accepted_text(options, version);
     if !apply.wait {
         return Ok(accepted);
     }
-    // Accepted holds whatever the wait brings, so it is told first.
+    // Printed before the wait, because the change is committed even if the wait fails.
     print!("{accepted}");
     wait_in_force(&client, options, version).await
 }
@@ -97,16 +97,16 @@
     Ok(table(&["VERSION", "OPERATOR", "CHANGE", "WHAT"], &rows))
 }
 
-/// Tells what came of a change.
+/// Shows the outcome of a change.
 pub(crate) async fn change(options: &Options, change_id: &str) -> Result<String, CliError> {
     let client = client(options);
     let reply = client.outcome_of(change_id).await;
-    let version = settle(&client, reply, change_id).await?;
+    let version = resolve_outcome(&client, reply, change_id).await?;
     Ok(accepted_text(options, version))
 }
 
-/// The version of an accepted change; a lost reply is settled by asking once more.
-pub(crate) async fn settle(
+/// Returns the version of an accepted change. If the reply was lost, asks once for the outcome.
+pub(crate) async fn resolve_outcome(
     client: &OperatorClient,
     reply: Result<ChangeReply, sapphiretrack_operator::OperatorError>,
     change_id: &str,
@@ -116,7 +116,7 @@
         Ok(reply) => reply,
         Err(OperatorError::ReplyLost { reason, .. }) => match client.outcome_of(change_id).await {
             Ok(accepted @ ChangeReply::Accepted { .. }) => accepted,
-            // The change may still be on its way: absence now proves nothing.
+            // The change may still be in transit, so that its absence proves nothing.
             _ => ChangeReply::Unknown {
                 change_id: change_id.to_owned(),
                 reason,
@@ -139,7 +139,7 @@
     }
 }
 
-/// How an accepted change is told.
+/// The output for an accepted change.
 pub(crate) fn accepted_text(options: &Options, version: u64) -> String {
     if options.json {
         return json(&ChangeReply::Accepted { version });
@@ -156,22 +156,22 @@
     }
 }
 
-/// Waits until every router that the asked one sees has the version in force.
+/// Waits until the version is in force on every router that the queried router knows.
 async fn wait_in_force(
     client: &OperatorClient,
     options: &Options,
     version: u64,
 ) -> Result<String, CliError> {
     let started = Instant::now();
-    let mut told: Vec<String> = Vec::new();
+    let mut reported: Vec<String> = Vec::new();
     loop {
         let status: Status = client.status().await.context(RouterSnafu)?;
         let mut missing = Vec::new();
         for router in &status.routers {
             if router.config_version < version {
                 missing.push(router.name.clone());
-            } else if !told.contains(&router.name) {
-                told.push(router.name.clone());
+            } else if !reported.contains(&router.name) {
+                reported.push(router.name.clone());
                 if !options.json {
                     println!(
                         "in force on {} after {} ms",
--- a/crates/sapphiretrack-cli/src/error.rs
+++ b/crates/sapphiretrack-cli/src/error.rs
@@ -5,17 +5,17 @@
 use sapphiretrack_operator::OperatorError;
 use snafu::Snafu;
 
-/// Why a command did not do what it was asked.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum CliError {
-    /// A flag has no value, or one that does not parse.
+    /// A flag has no value or an invalid one.
     #[snafu(display("{source}; hint: see --help"))]
     Arguments {
-        /// Why.
+        /// The cause.
         source: pico_args::Error,
     },
-    /// The command line asks for nothing known.
+    /// The command line is invalid, or its request cannot be carried out.
     #[snafu(display("{problem}; hint: see --help"))]
     Usage {
         /// What is wrong.
@@ -26,71 +26,71 @@
     ReadFile {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The certificates cannot be trusted.
+    /// The file of trusted certificates cannot be used.
     #[snafu(display("{source}; hint: --tls-ca"))]
     Trust {
-        /// Why.
+        /// The cause.
         source: sapphiretrack_tls::TrustError,
     },
-    /// The contract in a file is refused before it is sent.
+    /// The contract in a file is invalid; it was not sent.
     #[snafu(display("{} is refused: {source}", file.display()))]
     Contract {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: sapphiretrack_core::ContractError,
     },
     /// The call to the router failed.
     #[snafu(display("{source}"))]
     Router {
-        /// Why.
+        /// The cause.
         source: OperatorError,
     },
-    /// The change is refused and nothing of it holds.
+    /// The router refused the request: nothing was changed.
     #[snafu(display("refused: {reason}"))]
     Refused {
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// The change may or may not hold.
+    /// The change may or may not be committed.
     #[snafu(display("unknown: {reason}; hint: sapphiretrack change show {change_id}"))]
     Unknown {
         /// The id to ask with.
         change_id: String,
-        /// Why it is not known.
+        /// Why the outcome is unknown.
         reason: String,
     },
-    /// `--wait` ended too early.
+    /// `--wait` reached its time limit.
     #[snafu(display("{what} after {wait_limit_ms} ms: {missing}"))]
     WaitEnded {
-        /// What was waited for.
+        /// The condition that is still not met.
         what: &'static str,
-        /// How long.
+        /// The time limit in milliseconds.
         wait_limit_ms: u64,
-        /// Who is missing.
+        /// What is missing for the condition.
         missing: String,
     },
-    /// The router does not know the name.
+    /// The router knows no router or server of this name.
     #[snafu(display("there is no {what} {name:?}; hint: sapphiretrack {what} list"))]
     NoSuch {
-        /// A router or server.
+        /// The kind of object: `router`.
         what: &'static str,
         /// The name.
         name: String,
     },
-    /// A caller's request got no answer.
+    /// A request as a caller got no answer.
     #[snafu(display("{source}"))]
     Caller {
-        /// Why.
+        /// The cause.
         source: sapphiretrack_caller::ClientError,
     },
 }
 
 impl CliError {
-    /// The exit code.
+    /// The exit code of the process, as listed in the help text.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Self::Refused { .. }
--- a/crates/sapphiretrack-cli/src/fleet.rs
+++ b/crates/sapphiretrack-cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Commands about routers and backend servers.
+//! Commands for routers and backend servers.
 
 use std::time::{Duration, Instant};
 
@@ -6,15 +6,15 @@
 use sapphiretrack_operator::{OperatorClient, OperatorError};
 use snafu::ResultExt;
 
-use crate::command::{Options, ServerDrain, StatusWanted, like};
-use crate::contracts::{accepted_text, client, client_of, new_change_id, settle};
+use crate::command::{Options, ServerDrain, StatusQuery, with_scheme_of};
+use crate::contracts::{accepted_text, client, client_for_url, new_change_id, resolve_outcome};
 use crate::error::{CliError, NoSuchSnafu, RouterSnafu, WaitEndedSnafu};
 use crate::goals::set_goal;
 use crate::table::{json, table};
 
-/// How often `--wait` looks.
+/// The interval at which `--wait` polls the status.
 const WAIT_POLL: Duration = Duration::from_millis(100);
-/// The state of a VM that takes new work.
+/// The state of a VM that accepts new requests.
 const LIVE: &str = "live";
 
 /// Lists routers.
@@ -35,10 +35,10 @@
     Ok(server_table(&status))
 }
 
-/// Shows one router's view.
-pub(crate) async fn status(options: &Options, wanted: &StatusWanted) -> Result<String, CliError> {
-    let status = if wanted.wait {
-        wait_status(options, wanted).await?
+/// Shows the status of the fleet as one router sees it.
+pub(crate) async fn status(options: &Options, query: &StatusQuery) -> Result<String, CliError> {
+    let status = if query.wait {
+        wait_status(options, query).await?
     } else {
         client(options).status().await.context(RouterSnafu)?
     };
@@ -60,33 +60,33 @@
     ))
 }
 
-/// Waits until the router answers and sees as many live routers and servers as wanted.
-async fn wait_status(options: &Options, wanted: &StatusWanted) -> Result<Status, CliError> {
+/// Waits until the router answers and sees at least the requested numbers of live VMs.
+async fn wait_status(options: &Options, query: &StatusQuery) -> Result<Status, CliError> {
     let client = client(options);
     let started = Instant::now();
     loop {
         let answer = client.status().await;
-        let is_over = started.elapsed().as_millis() as u64 >= options.wait_limit_ms;
+        let is_timed_out = started.elapsed().as_millis() as u64 >= options.wait_limit_ms;
         let status = match answer {
             Ok(status) => status,
-            // A router that is still starting refuses connections.
-            Err(OperatorError::Unreachable { .. }) if !is_over => {
+            // A router that is still starting does not accept connections yet.
+            Err(OperatorError::Unreachable { .. }) if !is_timed_out => {
                 tokio::time::sleep(WAIT_POLL).await;
                 continue;
             }
             Err(error) => return Err(error).context(RouterSnafu),
         };
         let (routers, servers) = live_counts(&status);
-        if routers >= wanted.routers && servers >= wanted.servers {
+        if routers >= query.routers && servers >= query.servers {
             return Ok(status);
         }
-        if is_over {
+        if is_timed_out {
             return WaitEndedSnafu {
                 what: "not all are live",
                 wait_limit_ms: options.wait_limit_ms,
                 missing: format!(
                     "{routers} of {} routers, {servers} of {} servers",
-                    wanted.routers, wanted.servers
+                    query.routers, query.servers
                 ),
             }
             .fail();
@@ -95,10 +95,10 @@
     }
 }
 
-/// How many routers and backend servers take new work.
+/// Counts the routers and the backend servers that accept new requests.
 fn live_counts(status: &Status) -> (usize, usize) {
-    let routers = status.routers.iter().filter(|one| one.state == LIVE);
-    let servers = status.servers.iter().filter(|one| one.state == LIVE);
+    let routers = status.routers.iter().filter(|router| router.state == LIVE);
+    let servers = status.servers.iter().filter(|server| server.state == LIVE);
     (routers.count(), servers.count())
 }
 
@@ -112,9 +112,9 @@
         }
         .fail();
     };
-    let url = like(&options.router, &router.operator_address);
-    let there = client_of(options, &url);
-    let reply = there.stop().await.context(RouterSnafu)?;
+    let url = with_scheme_of(&options.router, &router.operator_address);
+    let target = client_for_url(options, &url);
+    let reply = target.stop().await.context(RouterSnafu)?;
     if options.json {
         return Ok(json(&reply));
     }
@@ -134,13 +134,13 @@
         draining: !drain.undo,
     };
     let reply = client.drain(&request).await;
-    let version = settle(&client, reply, &request.change_id).await?;
+    let version = resolve_outcome(&client, reply, &request.change_id).await?;
     let accepted = accepted_text(options, version);
-    // A server is ordered to stop only after it is empty.
+    // `--stop` implies the wait: a server is stopped only after its last request has ended.
     if !drain.wait && !drain.stop {
         return Ok(accepted);
     }
-    // Accepted holds whatever the wait brings, so it is told first.
+    // Printed before the wait, because the drain is committed even if the wait fails.
     print!("{accepted}");
     let mut text = wait_drained(&client, options, &drain.server, version).await?;
     if drain.stop && !drain.undo {
@@ -157,7 +157,7 @@
     Ok(text)
 }
 
-/// Waits until the drain is in force on every router and nothing runs on the server.
+/// Waits until the drain is in force on every router and the server has no request in flight.
 async fn wait_drained(
     client: &OperatorClient,
     options: &Options,
@@ -172,8 +172,8 @@
             .iter()
             .filter(|router| router.config_version < version)
             .count();
-        let line = status.servers.iter().find(|line| line.name == server);
-        let in_flight = line.map_or(0, |line| line.in_flight);
+        let listed = status.servers.iter().find(|listed| listed.name == server);
+        let in_flight = listed.map_or(0, |listed| listed.in_flight);
         if behind == 0 && in_flight == 0 {
             return Ok(if options.json {
                 String::new()
--- a/crates/sapphiretrack-cli/src/goals.rs
+++ b/crates/sapphiretrack-cli/src/goals.rs
@@ -1,4 +1,4 @@
-//! Commands about what engines shall be.
+//! Commands for the desired state of engines.
 
 use sapphiretrack_operator::wire::{GoalReply, SetFencing, SetGoal};
 use snafu::ResultExt;
@@ -11,25 +11,25 @@
 /// Sets the desired state of a backend server.
 pub(crate) async fn set_goal(options: &Options, goal: &SetGoal) -> Result<String, CliError> {
     let reply = client(options).set_goal(goal).await.context(RouterSnafu)?;
-    set_text(options, reply)
+    goal_reply_text(options, reply)
 }
 
-/// Says whether a pool's engines check fencing numbers.
+/// Sets whether a pool's engines check fencing numbers.
 pub(crate) async fn set_fencing(
     options: &Options,
     fencing: &SetFencing,
 ) -> Result<String, CliError> {
     let reply = client(options).set_fencing(fencing).await;
-    set_text(options, reply.context(RouterSnafu)?)
+    goal_reply_text(options, reply.context(RouterSnafu)?)
 }
 
-fn set_text(options: &Options, reply: GoalReply) -> Result<String, CliError> {
+fn goal_reply_text(options: &Options, reply: GoalReply) -> Result<String, CliError> {
     if let Some(reason) = reply.problem {
         return RefusedSnafu { reason }.fail();
     }
     Ok(if options.json {
         json(&reply)
     } else {
-        String::from("set; engines are brought to it by the router that holds the lease\n")
+        String::from("set; the router that holds the lease will apply it to the engines\n")
     })
 }
--- a/crates/sapphiretrack-cli/src/main.rs
+++ b/crates/sapphiretrack-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's command-line tool.
+//! The command-line tool for operators.
 
 mod callers;
 mod command;
@@ -17,7 +17,7 @@
 use crate::error::CliError;
 
 const HELP: &str = "\
-sapphiretrack: drives a fleet of routers
+sapphiretrack: controls a fleet of routers
 
   sapphiretrack contract apply FILE [--new | --seen VERSION] [--wait]
   sapphiretrack contract show CUSTOMER [--version VERSION]
@@ -32,22 +32,22 @@
   sapphiretrack pool fencing POOL --checks|--ignores
   sapphiretrack status [--wait [--routers N] [--servers N]]
   sapphiretrack entry [--zone ZONE]
-  sapphiretrack explain ID [FILE...]   (routers' logs, else standard input)
+  sapphiretrack explain ID [FILE...]   (log files of routers, or else standard input)
   sapphiretrack chat --model MODEL [--workspace W] [--chat C] [--class C] TEXT
 
-Options, each also by the environment variable behind it:
-  --router URL          operators' address of a router, http://IP:PORT (SAPPHIRETRACK_ROUTER)
+Options; the environment variable in parentheses sets the same value:
+  --router URL          operator interface of a router, http://IP:PORT (SAPPHIRETRACK_ROUTER)
   --operator-key KEY    the operators' key (SAPPHIRETRACK_OPERATOR_KEY)
-  --operator NAME       who you are, for the history (SAPPHIRETRACK_OPERATOR)
-  --caller-url URL      callers' address of a router, for entry and chat (SAPPHIRETRACK_CALLER_URL)
-  --caller-key KEY      a key of a contract, for chat (SAPPHIRETRACK_CALLER_KEY)
-  --tls-ca FILE         certificates to trust, PEM, for https:// addresses (SAPPHIRETRACK_TLS_CA)
-  --wait-limit-ms N     how long --wait waits [30000]
+  --operator NAME       your name, for the history of changes (SAPPHIRETRACK_OPERATOR)
+  --caller-url URL      caller interface of a router, for entry and chat (SAPPHIRETRACK_CALLER_URL)
+  --caller-key KEY      caller key of a contract, for chat (SAPPHIRETRACK_CALLER_KEY)
+  --tls-ca FILE         trusted certificates (PEM) for https:// URLs (SAPPHIRETRACK_TLS_CA)
+  --wait-limit-ms N     how long --wait waits, in milliseconds [30000]
   --json                print JSON for scripts
   --help, --version
 
-Exit codes: 0 accepted or done, 1 refused, 2 wrong use, 3 unknown: ask again with the change id,
-4 the router cannot be reached, 5 --wait ended before what it waits for
+Exit codes: 0 accepted or done, 1 refused, 2 invalid usage, 3 outcome unknown: run `change show`
+with the change id, 4 the router cannot be reached, 5 --wait reached its time limit
 ";
 
 #[tokio::main(flavor = "current_thread")]
@@ -88,11 +88,11 @@
         Command::RouterStop { name } => fleet::stop(options, &name).await,
         Command::ServerList => fleet::servers(options).await,
         Command::ServerDrain(drain) => fleet::drain(options, &drain).await,
-        Command::Status(wanted) => fleet::status(options, &wanted).await,
+        Command::Status(query) => fleet::status(options, &query).await,
         Command::Entry { zone } => callers::entry(options, zone.as_deref()).await,
         Command::ServerSet(goal) => goals::set_goal(options, &goal).await,
         Command::PoolFencing(fencing) => goals::set_fencing(options, &fencing).await,
         Command::Chat(chat) => callers::chat(options, &chat).await,
-        Command::Explain(wanted) => explain::explain(&wanted),
+        Command::Explain(query) => explain::explain(&query),
     }
 }
--- a/crates/sapphiretrack-cli/src/table.rs
+++ b/crates/sapphiretrack-cli/src/table.rs
@@ -1,8 +1,8 @@
-//! Tables for people and JSON for scripts.
+//! Output as tables for people and as JSON for scripts.
 
 use serde::Serialize;
 
-/// A table with a line of headings.
+/// Formats rows as a table with a line of headings.
 pub(crate) fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = headings.iter().map(|heading| heading.len()).collect();
     for row in rows {
@@ -26,7 +26,7 @@
     text
 }
 
-/// JSON with a line end.
+/// Formats a value as indented JSON with a trailing newline.
 pub(crate) fn json<Value>(value: &Value) -> String
 where
     Value: Serialize,
--- a/crates/sapphiretrack-logs/src/cause.rs
+++ b/crates/sapphiretrack-logs/src/cause.rs
@@ -1,4 +1,4 @@
-//! Why a request ended as it did, in one sentence.
+//! Describes why a request ended as it did.
 
 use crate::LogLine;
 
@@ -13,73 +13,74 @@
 const SERVER_LEAVING: u16 = 621;
 const STOPPING: u16 = 601;
 
-/// The cause, from a request's own lines and the beliefs around it, both in order of time.
-pub(crate) fn cause(own: &[&LogLine], beliefs: &[&LogLine]) -> String {
-    let end = own
+/// Describes why a request ended as it did, from the lines about the request itself and the lines
+/// about the state of its routers and servers, both in order of time.
+pub(crate) fn describe_cause(request_lines: &[&LogLine], context: &[&LogLine]) -> String {
+    let end = request_lines
         .iter()
         .rev()
         .find(|line| line.event != SENT && line.event != ATTEMPT_FAILED);
     let Some(end) = end else {
-        let sent = own.iter().rev().find(|line| line.event == SENT);
+        let sent = request_lines.iter().rev().find(|line| line.event == SENT);
         let server = sent
             .and_then(|line| line.field("server"))
             .unwrap_or("a server");
         return format!(
-            "The logs end while it was at {server}: the router was killed or lost power, or it still runs."
+            "The logs end while it was at {server}: the router was killed or lost power, or the request is still running."
         );
     };
-    let server_story = server_story(own, beliefs);
+    let failed_attempts = describe_failed_attempts(request_lines, context);
     match end.event {
         ANSWERED => {
             let age_ms = end.field("age_ms").unwrap_or("?");
             let status = end.field("status").unwrap_or("?");
-            let failure = passed_on_failure(own, status);
-            format!("Answered with {status} after {age_ms} ms.{server_story}{failure}")
+            let failure = describe_forwarded_error(request_lines, status);
+            format!("Answered with {status} after {age_ms} ms.{failed_attempts}{failure}")
         }
-        REFUSED => refusal(end, beliefs),
+        REFUSED => describe_refusal(end, context),
         FAILED => {
-            let reason = meaning(end.field("reason").unwrap_or("?"));
-            format!("It may have run and has no good answer: {reason}.{server_story}")
+            let reason = describe_reason(end.field("reason").unwrap_or("?"));
+            format!("It failed and may have run: {reason}.{failed_attempts}")
         }
         CALLER_LEFT => {
             let age_ms = end.field("age_ms").unwrap_or("?");
             format!(
-                "The caller left after {age_ms} ms, before its answer was complete.{server_story}"
+                "The caller disconnected after {age_ms} ms, before its answer was complete.{failed_attempts}"
             )
         }
-        _ => "Its last line tells no end.".to_owned(),
+        _ => "Its last line does not say how it ended.".to_owned(),
     }
 }
 
-fn refusal(end: &LogLine, beliefs: &[&LogLine]) -> String {
+fn describe_refusal(end: &LogLine, context: &[&LogLine]) -> String {
     let reason = end.field("reason").unwrap_or("?");
     let status = end.field("status").unwrap_or("?");
     let mut text = format!(
         "Refused with {status}, it has not run: {}.",
-        meaning(reason)
+        describe_reason(reason)
     );
-    let last = |event: u16| beliefs.iter().rev().find(|line| line.event == event);
-    let stale = matches!(reason, "keys-stale" | "configuration-stale");
-    if stale && let Some(lost) = last(STORE_LOST) {
+    let last = |event: u16| context.iter().rev().find(|line| line.event == event);
+    let is_stale = matches!(reason, "keys-stale" | "configuration-stale");
+    if is_stale && let Some(lost) = last(STORE_LOST) {
         let since_ms = end.time_ms.saturating_sub(lost.time_ms);
         text += &format!(" The router had lost the store {since_ms} ms before.");
     }
-    let decided = matches!(reason, "unknown-key" | "no-route");
-    if decided && let Some(version) = last(CONFIGURATION_IN_FORCE) {
+    let depends_on_version = matches!(reason, "unknown-key" | "no-route");
+    if depends_on_version && let Some(version) = last(CONFIGURATION_IN_FORCE) {
         let since_ms = end.time_ms.saturating_sub(version.time_ms);
         let number = version.field("version").unwrap_or("?");
         text += &format!(" Version {number} had come into force {since_ms} ms before.");
     }
     if reason == "leaving" && last(STOPPING).is_some() {
-        text += " The router was on a planned stop.";
+        text += " The router was in a planned stop.";
     }
     text
 }
 
-/// A server's own failure that was passed on as the answer leaves no line of a failed attempt.
-fn passed_on_failure(own: &[&LogLine], status: &str) -> String {
+/// Describes a server error that was passed on as the answer, which logs no failed attempt.
+fn describe_forwarded_error(request_lines: &[&LogLine], status: &str) -> String {
     let is_failure = status.parse().is_ok_and(|status: u16| status >= 500);
-    let sent = own.iter().rev().find(|line| line.event == SENT);
+    let sent = request_lines.iter().rev().find(|line| line.event == SENT);
     let server = sent.and_then(|line| line.field("server"));
     match server {
         Some(server) if is_failure => {
@@ -89,27 +90,29 @@
     }
 }
 
-/// What became of the servers that it was sent to.
-fn server_story(own: &[&LogLine], beliefs: &[&LogLine]) -> String {
-    let failures = own.iter().filter(|line| line.event == ATTEMPT_FAILED);
+/// Describes the failed attempts at the servers that the request was sent to.
+fn describe_failed_attempts(request_lines: &[&LogLine], context: &[&LogLine]) -> String {
+    let failures = request_lines
+        .iter()
+        .filter(|line| line.event == ATTEMPT_FAILED);
     let mut text = String::new();
     for failure in failures {
         let server = failure.field("server").unwrap_or("?");
-        let reason = meaning(failure.field("reason").unwrap_or("?"));
+        let reason = describe_reason(failure.field("reason").unwrap_or("?"));
         text += &format!(" At {server}: {reason}.");
-        let left = beliefs
+        let leaving = context
             .iter()
             .find(|line| line.event == SERVER_LEAVING && line.field("server") == Some(server));
-        if let Some(left) = left {
-            let how = left.field("reason").unwrap_or("?");
-            text += &format!(" That server was leaving or gone ({how}).");
+        if let Some(leaving) = leaving {
+            let reason = leaving.field("reason").unwrap_or("?");
+            text += &format!(" That server was leaving or gone ({reason}).");
         }
     }
     text
 }
 
-/// A reason of the log in words; reasons that say it themselves stay as they are.
-fn meaning(reason: &str) -> String {
+/// Describes a reason code of the log in words; an unknown code is returned unchanged.
+fn describe_reason(reason: &str) -> String {
     let words = match reason {
         "keys-stale" => "the router could not know whether the key was still good",
         "configuration-stale" => {
@@ -125,30 +128,30 @@
         "no-configuration" => "the router had not read any configuration yet",
         "unknown-key" => "the configuration in force has no such key",
         "no-route" => "the configuration in force has no such route",
-        "route-moved" => "its route had moved to another service meanwhile",
+        "route-moved" => "its route had moved to another service in the meantime",
         "no-server" => "no backend server of its service was listed",
         "servers-full" => "all backend servers of its service were full",
         "servers-tried" => "all backend servers of its service had been tried",
-        "server-refused" => "the server refused it as not run",
-        "wrong-server" => "another server had the address",
+        "server-refused" => "the server refused it without running it",
+        "wrong-server" => "another server had taken over the address",
         "unreachable" => "no connection to the server could be made",
         "connections-used" => "this router's share of the server's connections was used up",
         "connection-broke" => "the connection broke before an answer came",
         "connection-closed" => "the server had closed the connection",
         "no-answer" => "the server gave no answer in time",
         "answer-broke-off" => "the server's answer broke off",
-        "answer-not-whole" => "the server's answer was not whole in time",
+        "answer-not-whole" => "the server's answer was not complete in time",
         "stream-broke-off" => "the server's stream broke off",
-        "event-broke-off" => "the server's stream ended within an event",
-        "stream-not-whole" => "the server's stream was not whole in time",
-        "events-out-of-order" => "an event was missing or came twice",
-        "answer-of-another-request" => "the bytes that came were another request's answer",
+        "event-broke-off" => "the server's stream ended in the middle of an event",
+        "stream-not-whole" => "the server's stream was not complete in time",
+        "events-out-of-order" => "an event of the stream was missing or duplicated",
+        "answer-of-another-request" => "the answer belonged to another request",
         "answer-not-signed" => "the answer lacked the server's signature",
         "server-error" => "the server failed",
         "retry-budget" => "the retry budget allowed no further attempt",
-        "leaving" => "the router was leaving",
+        "leaving" => "the router was shutting down",
         "no-memory" => "too many request bodies were in memory",
-        "no-time-left" => "the caller's time was over",
+        "no-time-left" => "the caller's deadline had passed",
         other => other,
     };
     words.to_owned()
--- a/crates/sapphiretrack-logs/src/lib.rs
+++ b/crates/sapphiretrack-logs/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads routers' logs and tells the story of one request.
+//! Reads routers' logs and explains how a request was handled.
 
 mod cause;
 mod line;
-mod story;
+mod trace;
 
 pub use line::LogLine;
-pub use story::{Story, tell};
+pub use trace::{RequestTrace, trace_request};
--- a/crates/sapphiretrack-logs/src/line.rs
+++ b/crates/sapphiretrack-logs/src/line.rs
@@ -1,30 +1,30 @@
-//! One line of a router's log.
+//! Parses lines of a router's log.
 
-/// A line, taken apart: `TIME LEVEL text="TEXT" event=NUMBER key=value`.
+/// A parsed line: `TIME LEVEL text="TEXT" event=NUMBER key=value`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogLine {
-    /// Whose log it is: the file's name, or what stands before the time.
+    /// The source of the line: the name of the file, or the word before the time.
     pub source: String,
-    /// The Unix millisecond that the router wrote.
+    /// The time that the router wrote, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The event's number.
+    /// The number of the event.
     pub event: u16,
-    /// The event's text.
+    /// The text of the event.
     pub text: String,
-    /// The fields in their order.
+    /// The other fields, as keys and values in their order.
     pub fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; none if it is no event of a router. Words before the time, as collectors
-    /// put there, name the source instead of `source`.
+    /// Parses a line; `None` if it is not a log event of a router. If a log collector prefixed the
+    /// line, the word before the time replaces `source`.
     pub fn parse(source: &str, line: &str) -> Option<Self> {
         let start = line.find(" text=")?;
         let mut head = line[..start].split_whitespace().rev();
         let _level = head.next()?;
         let time_ms = head.next()?.parse().ok()?;
         let source = head.next().unwrap_or(source).to_owned();
-        let mut fields = fields(&line[start..]);
+        let mut fields = parse_fields(&line[start..]);
         let mut take = |name: &str| {
             let index = fields.iter().position(|(key, _)| key == name)?;
             Some(fields.remove(index).1)
@@ -40,7 +40,7 @@
         })
     }
 
-    /// A field's value.
+    /// The value of the first field with this name.
     pub fn field(&self, name: &str) -> Option<&str> {
         let found = self.fields.iter().find(|(key, _)| key == name);
         found.map(|(_, value)| value.as_str())
@@ -64,13 +64,14 @@
     }
 }
 
-/// Reads `key=value` and `key="value"`, the latter with `\"` and `\\` inside.
-fn fields(text: &str) -> Vec<(String, String)> {
+/// Parses fields `key=value` and `key="value"`; a quoted value may contain the escapes `\"` and
+/// `\\`.
+fn parse_fields(text: &str) -> Vec<(String, String)> {
     let mut fields = Vec::new();
     let mut rest = text.trim_start();
     while let Some((key, after)) = rest.split_once('=') {
         let (value, next) = match after.strip_prefix('"') {
-            Some(quoted) => quoted_value(quoted),
+            Some(quoted) => split_quoted_value(quoted),
             None => {
                 let end = after.find(' ').unwrap_or(after.len());
                 (after[..end].to_owned(), &after[end..])
@@ -82,8 +83,8 @@
     fields
 }
 
-/// The value up to the closing quote, and what follows it.
-fn quoted_value(text: &str) -> (String, &str) {
+/// Splits text into the unescaped value before the closing quote and the rest after it.
+fn split_quoted_value(text: &str) -> (String, &str) {
     let mut value = String::new();
     let mut characters = text.char_indices();
     while let Some((index, character)) = characters.next() {
--- a/crates/sapphiretrack-logs/tests/story.rs
+++ b/crates/sapphiretrack-logs/tests/story.rs
@@ -1,6 +1,6 @@
-//! From a request's id to its cause.
+//! Explains requests by their ids from the lines of a log.
 
-use sapphiretrack_logs::{LogLine, tell};
+use sapphiretrack_logs::{LogLine, trace_request};
 
 const LOG: &str = r#"
 1000 INFO text="router started" event=600 router=r1 zone=z1
@@ -25,11 +25,13 @@
 }
 
 fn cause(id: &str) -> String {
-    tell(id, &lines()).expect("the log names it").cause
+    trace_request(id, &lines())
+        .expect("a line with the id")
+        .cause
 }
 
 #[test]
-fn lines_are_taken_apart() {
+fn lines_are_parsed_into_fields() {
     let lines = lines();
     assert_eq!(lines.len(), 12);
     assert_eq!(
@@ -50,10 +52,10 @@
 }
 
 #[test]
-fn each_end_is_explained() {
+fn each_kind_of_end_is_explained() {
     assert_eq!(
         cause("a"),
-        "It may have run and has no good answer: the connection broke before an answer came. \
+        "It failed and may have run: the connection broke before an answer came. \
          At s1: the connection broke before an answer came."
     );
     assert_eq!(
@@ -68,15 +70,15 @@
         "Refused with 401, it has not run: the configuration in force has no such key. \
          Version 7 had come into force 5990 ms before."
     );
-    assert!(tell("z", &lines()).is_none());
+    assert!(trace_request("z", &lines()).is_none());
 }
 
 #[test]
-fn a_story_holds_the_beliefs_of_its_routers_and_no_other_request() {
+fn a_trace_holds_the_context_of_its_routers_and_no_other_request() {
     let mut lines = lines();
-    let other = r#"2550 INFO text="configuration in force" event=610 version=8 before=7"#;
-    lines.extend(LogLine::parse("r2", other));
-    let story = tell("a", &lines).expect("named");
-    let events: Vec<u16> = story.lines.iter().map(|line| line.event).collect();
+    let other_router = r#"2550 INFO text="configuration in force" event=610 version=8 before=7"#;
+    lines.extend(LogLine::parse("r2", other_router));
+    let trace = trace_request("a", &lines).expect("a line with the id");
+    let events: Vec<u16> = trace.lines.iter().map(|line| line.event).collect();
     assert_eq!(events, [600, 610, 612, 641, 642, 644]);
 }
