--- a/crates/sapphiretrack-bench/src/policy/arguments.rs
+++ b/crates/sapphiretrack-bench/src/policy/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of a policy run.
+//! Command-line arguments of `sapphiretrack-bench policy`.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use super::{Policy, Scenario, ScenarioName};
 
-/// What to run and how to show it.
+/// The scenario, policies and seeds to run, and the output format.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     pub(crate) scenario: Scenario,
@@ -22,31 +22,31 @@
     pub(crate) fn parse(mut arguments: Arguments) -> Result<Self, String> {
         let name = optional::<ScenarioName>(&mut arguments, "--scenario")?;
         let mut scenario = Scenario::named(name.unwrap_or(ScenarioName::Steady));
-        set(&mut arguments, "--routers", &mut scenario.routers)?;
-        set(&mut arguments, "--servers", &mut scenario.servers)?;
-        set(&mut arguments, "--workspaces", &mut scenario.workspaces)?;
-        set(&mut arguments, "--chats", &mut scenario.chats)?;
-        set(&mut arguments, "--rate-per-s", &mut scenario.rate_per_s)?;
-        set(&mut arguments, "--minutes", &mut scenario.minutes)?;
+        override_if_given(&mut arguments, "--routers", &mut scenario.routers)?;
+        override_if_given(&mut arguments, "--servers", &mut scenario.servers)?;
+        override_if_given(&mut arguments, "--workspaces", &mut scenario.workspaces)?;
+        override_if_given(&mut arguments, "--chats", &mut scenario.chats)?;
+        override_if_given(&mut arguments, "--rate-per-s", &mut scenario.rate_per_s)?;
+        override_if_given(&mut arguments, "--minutes", &mut scenario.minutes)?;
         let lag = &mut scenario.report_lag_ms;
-        set(&mut arguments, "--report-lag-ms", lag)?;
-        set(
+        override_if_given(&mut arguments, "--report-lag-ms", lag)?;
+        override_if_given(
             &mut arguments,
             "--joins-per-min",
             &mut scenario.joins_per_min,
         )?;
-        set(
+        override_if_given(
             &mut arguments,
             "--fails-per-min",
             &mut scenario.fails_per_min,
         )?;
         let load_multiple = &mut scenario.placement.bound.load_multiple;
-        set(&mut arguments, "--load-multiple", load_multiple)?;
+        override_if_given(&mut arguments, "--load-multiple", load_multiple)?;
         let value_chance = &mut scenario.caller_value_chance;
-        set(&mut arguments, "--caller-value-chance", value_chance)?;
-        set(&mut arguments, "--heartbeat-ms", &mut scenario.heartbeat_ms)?;
+        override_if_given(&mut arguments, "--caller-value-chance", value_chance)?;
+        override_if_given(&mut arguments, "--heartbeat-ms", &mut scenario.heartbeat_ms)?;
         let subset = &mut scenario.placement.subset_servers;
-        set(&mut arguments, "--subset-servers", subset)?;
+        override_if_given(&mut arguments, "--subset-servers", subset)?;
         scenario.sticky = !arguments.contains("--no-sticky");
         let options = Self {
             seed: optional(&mut arguments, "--seed")?.unwrap_or(1),
@@ -58,7 +58,7 @@
         };
         let unused = arguments.finish();
         if let Some(argument) = unused.first() {
-            return Err(format!("{argument:?} is not known; hint: see --help"));
+            return Err(format!("unknown argument {argument:?}; hint: see --help"));
         }
         options.scenario.check()?;
         Ok(options)
@@ -74,13 +74,17 @@
     }
 }
 
-fn set<Value>(arguments: &mut Arguments, name: &'static str, to: &mut Value) -> Result<(), String>
+fn override_if_given<Value>(
+    arguments: &mut Arguments,
+    name: &'static str,
+    target: &mut Value,
+) -> Result<(), String>
 where
     Value: FromStr,
     Value::Err: std::fmt::Display,
 {
     if let Some(value) = optional(arguments, name)? {
-        *to = value;
+        *target = value;
     }
     Ok(())
 }
--- a/crates/sapphiretrack-bench/src/policy/decision.rs
+++ b/crates/sapphiretrack-bench/src/policy/decision.rs
@@ -1,4 +1,4 @@
-//! How long one placement decision takes, by the number of servers.
+//! Measures the duration of a placement decision for several pool sizes.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
     ServerId, ServerView, VmState, WarmHint, WorkspaceKey, hash_parts, rank_servers,
 };
 
-/// The sizes that are measured: a site of today, a cell, and a fleet in one pool.
+/// Numbers of servers to measure: a current site, a cell, and a whole fleet in one pool.
 pub const DECISION_SERVERS: [usize; 3] = [12, 40, 1_800];
-/// Decisions that are measured for each size.
-const DECISIONS: u64 = 20_000;
-/// The longest time that is told apart.
-const LONGEST_NS: u64 = 1_000_000_000;
+/// Measured decisions per pool size.
+const DECISIONS_PER_SIZE: u64 = 20_000;
+/// Upper limit of the histogram; longer decisions are recorded as this value.
+const MAX_DECISION_NS: u64 = 1_000_000_000;
 
-/// Prints the time of one decision for each size.
+/// Prints the median and 99th percentile of the decision time for each pool size.
 pub(crate) fn run() -> Result<(), String> {
     for servers in DECISION_SERVERS {
         let pool = decision_pool(servers);
-        let times = Histogram::<u64>::new_with_bounds(1, LONGEST_NS, 3);
+        let times = Histogram::<u64>::new_with_bounds(1, MAX_DECISION_NS, 3);
         let mut times = times.map_err(|error| error.to_string())?;
-        for number in 0..DECISIONS {
+        for number in 0..DECISIONS_PER_SIZE {
             let started = Instant::now();
             black_box(decide(&pool, number));
             times.saturating_record(started.elapsed().as_nanos() as u64);
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// A pool of so many engines with some load.
+/// Returns a pool with the given number of engines, each with some load.
 pub fn decision_pool(servers: usize) -> PoolView {
     let view = |index: usize| ServerView {
         id: ServerId::from_name(&format!("server-{index}")),
@@ -59,7 +59,8 @@
     }
 }
 
-/// One decision for a returning chat; returns the estimate of its first candidate.
+/// Ranks the servers for a returning chat and returns the estimated time to first token, in
+/// milliseconds, of the best candidate.
 pub fn decide(pool: &PoolView, number: u64) -> Option<f64> {
     let chat = hash_parts(&[&number.to_le_bytes()]);
     let warm = [WarmHint {
--- a/crates/sapphiretrack-bench/src/policy/measures.rs
+++ b/crates/sapphiretrack-bench/src/policy/measures.rs
@@ -1,59 +1,63 @@
-//! What a policy run measures, and its output.
+//! Results of a policy run and their output formats.
 
 use serde_json::json;
 
-/// The figures of one policy on one scenario and seed.
+/// The results of one policy for one scenario and seed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Measures {
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// The seed.
+    /// Seed of the trace and of the random choices.
     pub seed: u64,
-    /// Requests that came.
+    /// Number of requests in the trace.
     pub requests: u64,
-    /// Part of the prompt tokens that engines found in their caches.
+    /// Fraction of the prompt tokens that were cached or imported.
     pub warm_token_fraction: f64,
-    /// Part of the prompt tokens that were imported from other engines' caches; counted above.
+    /// Fraction of the prompt tokens that were imported from other engines' caches; included in
+    /// `warm_token_fraction`.
     pub imported_token_fraction: f64,
-    /// The busiest server over the mean, over time.
+    /// Requests in flight on the busiest server divided by the mean over all servers that accept
+    /// requests, averaged over time.
     pub skew: f64,
-    /// The 99th percentile of that over time.
+    /// 99th percentile over time of the same ratio.
     pub skew_p99: f64,
-    /// Placements that put a server over its bound as it truly stood.
+    /// Placements that exceeded the load bound computed from the exact state of the pool.
     pub bound_breaches: u64,
-    /// Requests that were refused.
+    /// Number of refused requests.
     pub refused: u64,
-    /// Requests whose first token came after the deadline of their class.
+    /// Number of requests whose first token came after the deadline of their class.
     pub late: u64,
-    /// Urgent requests, refused or late, that came while some server had room.
+    /// Urgent requests that were late although a server had capacity on arrival, or refused while a
+    /// server had capacity.
     pub urgent_failed_with_room: u64,
-    /// The 95th percentile of the time to first token.
+    /// 95th percentile of the time to first token.
     pub first_token_p95_ms: f64,
-    /// Encoded bytes of control messages and probes that a router spends.
+    /// Encoded bytes of control messages and load-report probes per router and second.
     pub control_bytes_per_router_s: f64,
-    /// Chats of a replaced router that returned.
+    /// Number of chats of the replaced router that returned after the replacement.
     pub returns: u64,
-    /// Part of the prompt tokens of those returns that engines found in their caches.
+    /// Fraction of the prompt tokens of these requests that were cached or imported.
     pub return_warm_fraction: f64,
-    /// The run over time.
-    pub moments: Vec<Moment>,
+    /// Results per interval of 5 seconds.
+    pub intervals: Vec<Interval>,
 }
 
-/// A few seconds of a run.
+/// The results of one interval of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Moment {
-    /// When it begins.
+pub struct Interval {
+    /// Start of the interval, in seconds; skew is counted from the start of the load, cached tokens
+    /// from the start of the simulation, which is 6 s earlier.
     pub at_s: f64,
-    /// Part of the prompt tokens found in caches.
+    /// Fraction of the prompt tokens that were cached or imported.
     pub warm_token_fraction: f64,
-    /// The busiest server over the mean.
+    /// Mean ratio of the busiest server's requests in flight to the mean; 0 without samples.
     pub skew: f64,
 }
 
 impl Measures {
-    pub(crate) const TABLE_HEAD: &'static str = "policy               scenario   seed requests   \
+    pub(crate) const ROW_HEADER: &'static str = "policy               scenario   seed requests   \
         warm import    skew skew_p99 breaches refused  late urgent p95_ms bytes/s";
 
     pub(crate) fn to_json(&self) -> String {
@@ -97,48 +101,48 @@
     }
 }
 
-/// Gathers figures while a run goes on.
+/// Sums and samples that are collected during a run.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Gathered {
+pub(crate) struct Samples {
     pub(crate) prompt_tokens: u64,
     pub(crate) cached_tokens: u64,
     pub(crate) imported_tokens: u64,
     pub(crate) first_token_ms: Vec<f64>,
     pub(crate) skews: Vec<f64>,
     pub(crate) control_bytes: u64,
-    pub(crate) moments: Vec<MomentSums>,
+    pub(crate) intervals: Vec<IntervalSums>,
 }
 
-/// Sums of one moment.
+/// Sums over one interval.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct MomentSums {
+pub(crate) struct IntervalSums {
     prompt_tokens: u64,
     cached_tokens: u64,
-    skew: f64,
-    skews: u32,
+    skew_sum: f64,
+    skew_samples: u32,
 }
 
-/// The length of a moment.
-const MOMENT_US: u64 = 5_000_000;
+/// Length of an interval.
+const INTERVAL_US: u64 = 5_000_000;
 
-impl Gathered {
-    pub(crate) fn note_start(&mut self, at_us: u64, prompt_tokens: u32, cached_tokens: u32) {
+impl Samples {
+    pub(crate) fn record_start(&mut self, at_us: u64, prompt_tokens: u32, cached_tokens: u32) {
         self.prompt_tokens += u64::from(prompt_tokens);
         self.cached_tokens += u64::from(cached_tokens);
-        let moment = self.moment(at_us);
-        moment.prompt_tokens += u64::from(prompt_tokens);
-        moment.cached_tokens += u64::from(cached_tokens);
+        let interval = self.interval(at_us);
+        interval.prompt_tokens += u64::from(prompt_tokens);
+        interval.cached_tokens += u64::from(cached_tokens);
     }
 
-    pub(crate) fn note_skew(&mut self, at_us: u64, skew: f64) {
+    pub(crate) fn record_skew(&mut self, at_us: u64, skew: f64) {
         self.skews.push(skew);
-        let moment = self.moment(at_us);
-        moment.skew += skew;
-        moment.skews += 1;
+        let interval = self.interval(at_us);
+        interval.skew_sum += skew;
+        interval.skew_samples += 1;
     }
 
-    /// Fills in the figures that are drawn from what was gathered.
-    pub(crate) fn fill(mut self, measures: &mut Measures, routers: usize, seconds: f64) {
+    /// Computes the results that depend on the collected samples.
+    pub(crate) fn fill_measures(mut self, measures: &mut Measures, routers: usize, seconds: f64) {
         measures.warm_token_fraction = ratio(self.cached_tokens as f64, self.prompt_tokens as f64);
         measures.imported_token_fraction =
             ratio(self.imported_tokens as f64, self.prompt_tokens as f64);
@@ -147,22 +151,22 @@
         measures.first_token_p95_ms = percentile(&mut self.first_token_ms, 0.95);
         measures.control_bytes_per_router_s =
             ratio(self.control_bytes as f64, routers as f64 * seconds);
-        let moments = self.moments.iter().enumerate();
-        measures.moments = moments
-            .map(|(index, sums)| Moment {
-                at_s: (index as u64 * MOMENT_US) as f64 / 1e6,
+        let intervals = self.intervals.iter().enumerate();
+        measures.intervals = intervals
+            .map(|(index, sums)| Interval {
+                at_s: (index as u64 * INTERVAL_US) as f64 / 1e6,
                 warm_token_fraction: ratio(sums.cached_tokens as f64, sums.prompt_tokens as f64),
-                skew: ratio(sums.skew, f64::from(sums.skews)),
+                skew: ratio(sums.skew_sum, f64::from(sums.skew_samples)),
             })
             .collect();
     }
 
-    fn moment(&mut self, at_us: u64) -> &mut MomentSums {
-        let index = (at_us / MOMENT_US) as usize;
-        if self.moments.len() <= index {
-            self.moments.resize(index + 1, MomentSums::default());
+    fn interval(&mut self, at_us: u64) -> &mut IntervalSums {
+        let index = (at_us / INTERVAL_US) as usize;
+        if self.intervals.len() <= index {
+            self.intervals.resize(index + 1, IntervalSums::default());
         }
-        &mut self.moments[index]
+        &mut self.intervals[index]
     }
 }
 
@@ -170,9 +174,9 @@
     if whole > 0.0 { part / whole } else { 0.0 }
 }
 
-fn percentile(values: &mut [f64], part: f64) -> f64 {
+fn percentile(values: &mut [f64], quantile: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let index = (values.len() as f64 * part) as usize;
+    let index = (values.len() as f64 * quantile) as usize;
     let last = values.len().saturating_sub(1);
     values.get(index.min(last)).copied().unwrap_or(0.0)
 }
--- a/crates/sapphiretrack-bench/src/policy/messages.rs
+++ b/crates/sapphiretrack-bench/src/policy/messages.rs
@@ -1,29 +1,29 @@
-//! Counts the encoded sizes of the messages that routers really send.
+//! Counts the encoded bytes of the control messages and load-report probes of all routers.
 
 use sapphiretrack_core::{FullServer, Grant, LoadReport};
 use sapphiretrack_peer::{HeartbeatReply, PeerReply, PeerRequest, SigningKey};
 
-/// The request that fetches a load report.
+/// A typical HTTP request for a load report.
 const PROBE_REQUEST: &str = "GET /load HTTP/1.1\r\nhost: 10.10.10.10:8000\r\n\r\n";
-/// The head of its answer.
-const PROBE_ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\
+/// The head of the response to it.
+const PROBE_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\
     content-length: 85\r\ndate: Wed, 01 Jan 2025 00:00:00 GMT\r\n\r\n";
 
-/// Sums the bytes that routers spend on control.
-pub(crate) struct Meter {
+/// Sums the encoded bytes of signed peer requests, their replies and probes.
+pub(crate) struct ControlTraffic {
     key: SigningKey,
     bytes: u64,
-    probe_bytes: u64,
+    bytes_per_probe: u64,
 }
 
-impl Meter {
+impl ControlTraffic {
     pub(crate) fn new() -> Self {
         let report = serde_json::to_string(&LoadReport::default()).unwrap_or_default();
-        let probe = PROBE_REQUEST.len() + PROBE_ANSWER.len() + report.len();
+        let probe = PROBE_REQUEST.len() + PROBE_RESPONSE_HEAD.len() + report.len();
         Self {
             key: SigningKey::new("policy"),
             bytes: 0,
-            probe_bytes: probe as u64,
+            bytes_per_probe: probe as u64,
         }
     }
 
@@ -31,7 +31,7 @@
         self.bytes
     }
 
-    pub(crate) fn count(&mut self, request: &PeerRequest) {
+    pub(crate) fn count_request(&mut self, request: &PeerRequest) {
         let signed = self.key.sign(request);
         let size = signed.and_then(|signed| bincode::serialized_size(&signed));
         self.bytes += size.unwrap_or_default();
@@ -40,7 +40,7 @@
     pub(crate) fn count_reply_to_reserve(&mut self, grant: Grant, full: FullServer) {
         match grant {
             Grant::Full => self.count_reply(&PeerReply::Full(full)),
-            decided => self.count_reply(&PeerReply::Reserve(decided)),
+            other => self.count_reply(&PeerReply::Reserve(other)),
         }
     }
 
@@ -58,7 +58,7 @@
     }
 
     pub(crate) fn count_probes(&mut self, probes: usize) {
-        self.bytes += self.probe_bytes * probes as u64;
+        self.bytes += self.bytes_per_probe * probes as u64;
     }
 
     fn count_reply(&mut self, reply: &PeerReply) {
--- a/crates/sapphiretrack-bench/src/policy/mod.rs
+++ b/crates/sapphiretrack-bench/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Policy runs: the placement decisions of a router fleet against a small engine model.
+//! Simulates the placement decisions of a router fleet with a simple engine model.
 //!
-//! A measurement of decisions: each router sees its own part of the requests and its own late
-//! view, messages take time, and no sockets are opened.
+//! Each router handles its own share of the requests and has its own, delayed view of the pool.
+//! Messages between routers are delayed; no sockets are opened.
 
 mod arguments;
 mod decision;
@@ -13,20 +13,22 @@
 mod replace;
 mod router;
 mod scenario;
+mod simulation;
 mod trace;
-mod world;
 
 use pico_args::Arguments;
 
 pub use decision::{DECISION_SERVERS, decide, decision_pool};
-pub use measures::{Measures, Moment};
+pub use measures::{Interval, Measures};
 pub use policies::Policy;
-pub use replace::Replaced;
+pub use replace::ReplacementMode;
 pub use scenario::{Scenario, ScenarioName};
 
 use arguments::Options;
 
-/// Runs all policies on one scenario; an error says what was wrong with the arguments.
+/// Runs all policies, or the given one, on one scenario and prints their results.
+///
+/// Returns an error if the arguments are invalid or the plot cannot be written.
 pub fn run(mut arguments: Arguments) -> Result<(), String> {
     if arguments.contains("--decision") {
         return decision::run();
@@ -41,7 +43,7 @@
         return plot::draw(&options, path);
     }
     if !options.json {
-        println!("{}", Measures::TABLE_HEAD);
+        println!("{}", Measures::ROW_HEADER);
     }
     for seed in options.seeds() {
         for policy in options.policies() {
@@ -55,8 +57,8 @@
     Ok(())
 }
 
-/// One policy on one scenario and seed; the same seed gives the same figures.
+/// Runs one policy on one scenario; the same seed gives the same results.
 pub fn measure(scenario: &Scenario, policy: Policy, seed: u64) -> Measures {
     let trace = trace::Trace::new(scenario, seed);
-    world::World::new(scenario, policy, seed, &trace).run()
+    simulation::Simulation::new(scenario, policy, seed, &trace).run()
 }
--- a/crates/sapphiretrack-bench/src/policy/policies.rs
+++ b/crates/sapphiretrack-bench/src/policy/policies.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared, and the ones among them that need no cell state.
+//! The compared placement policies, and the server order of the baseline policies.
 
 use std::str::FromStr;
 
@@ -6,34 +6,36 @@
 use rand_chacha::ChaCha8Rng;
 use sapphiretrack_core::{ServerId, rendezvous_score};
 
-/// How a router picks a backend server.
+/// How a router chooses a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Policy {
-    /// Any server that seems live.
+    /// A random server that the router considers live.
     Random,
-    /// One after the other.
+    /// All servers in turn.
     RoundRobin,
-    /// The fewest requests by lagging load reports.
+    /// The server with the fewest requests in its last, delayed load report.
     LeastLoaded,
-    /// The chat's rendezvous server.
+    /// The server with the highest rendezvous score for the chat.
     Rendezvous,
-    /// The chat's first rendezvous server under a bound that each router keeps alone.
+    /// The server with the highest rendezvous score for the chat that is below a load bound which
+    /// each router computes from its own requests only.
     BoundedRendezvous,
-    /// The placement of this project under the bound by what peers last said, without stewards.
+    /// The placement of sapphiretrack, with the load bound applied to the last counts received from
+    /// peers instead of stewards.
     ExchangedVectors,
-    /// The placement of this project, as the daemon runs it.
+    /// The placement of sapphiretrack as the daemon runs it, with stewards.
     Sapphiretrack,
-    /// The same placement with perfect, instant knowledge of everything.
+    /// The placement of sapphiretrack with exact, current knowledge of all servers.
     Oracle,
 }
 
 impl Policy {
-    /// Whether routers tell each other their load.
+    /// Returns whether routers exchange their loads by heartbeats.
     pub(crate) fn exchanges_heartbeats(self) -> bool {
         matches!(self, Self::ExchangedVectors | Self::Sapphiretrack)
     }
 
-    /// All of them.
+    /// All policies, in the order in which they run.
     pub const ALL: [Self; 8] = [
         Self::Random,
         Self::RoundRobin,
@@ -45,7 +47,7 @@
         Self::Oracle,
     ];
 
-    /// As the output names it.
+    /// Returns the name on the command line and in the output.
     pub fn name(self) -> &'static str {
         match self {
             Self::Random => "random",
@@ -67,46 +69,47 @@
         let found = Self::ALL.into_iter().find(|known| known.name() == text);
         found.ok_or_else(|| {
             let names = Self::ALL.map(Self::name).join(", ");
-            format!("no policy {text:?}; hint: one of {names}")
+            format!("unknown policy {text:?}; hint: one of {names}")
         })
     }
 }
 
-/// A server as a simple policy sees it.
+/// A server as a baseline policy sees it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SimpleView {
+pub(crate) struct BaselineServer {
     pub(crate) index: usize,
     pub(crate) id: ServerId,
-    /// Requests there by its last report.
-    pub(crate) reported: u32,
-    /// The router's own requests there.
-    pub(crate) own: u32,
+    /// Running and queued requests in its last load report.
+    pub(crate) reported_requests: u32,
+    /// The router's own requests in flight on the server.
+    pub(crate) own_in_flight: u32,
 }
 
-/// The order in which a simple policy tries servers.
-pub(crate) fn simple_order(
+/// Returns the server indices in the order in which a baseline policy tries them.
+pub(crate) fn baseline_order(
     policy: Policy,
-    servers: &[SimpleView],
+    servers: &[BaselineServer],
     chat: u64,
-    turn: &mut usize,
+    request_number: &mut usize,
     load_multiple: f64,
     random: &mut ChaCha8Rng,
 ) -> Vec<usize> {
     let mut keyed: Vec<(f64, usize)> = Vec::with_capacity(servers.len());
-    let own: u32 = servers.iter().map(|server| server.own).sum();
+    let own: u32 = servers.iter().map(|server| server.own_in_flight).sum();
     let mean = f64::from(own + 1) / servers.len().max(1) as f64;
-    let local_limit = (load_multiple * mean).ceil();
-    *turn += 1;
+    let own_limit = (load_multiple * mean).ceil();
+    *request_number += 1;
     for (position, server) in servers.iter().enumerate() {
         let score = rendezvous_score(chat, server.id.0, 1.0);
         let key = match policy {
             Policy::RoundRobin => {
-                ((position + servers.len() - *turn % servers.len()) % servers.len()) as f64
+                ((position + servers.len() - *request_number % servers.len()) % servers.len())
+                    as f64
             }
-            Policy::LeastLoaded => f64::from(server.reported) + random.random::<f64>(),
+            Policy::LeastLoaded => f64::from(server.reported_requests) + random.random::<f64>(),
             Policy::Rendezvous => -score,
-            Policy::BoundedRendezvous if f64::from(server.own) < local_limit => -score,
-            Policy::BoundedRendezvous => f64::from(server.own),
+            Policy::BoundedRendezvous if f64::from(server.own_in_flight) < own_limit => -score,
+            Policy::BoundedRendezvous => f64::from(server.own_in_flight),
             _ => random.random(),
         };
         keyed.push((key, server.index));
--- a/crates/sapphiretrack-bench/src/policy/replace.rs
+++ b/crates/sapphiretrack-bench/src/policy/replace.rs
@@ -1,7 +1,8 @@
-//! How much reuse is lost when one router is replaced, by what becomes of its placement memory.
+//! Measures the cache reuse that is lost when one router is replaced, for several ways to transfer
+//! its placement memory.
 //!
-//! Only the memory goes: the router's requests in flight and its part of the slots stay, so that
-//! nothing else is measured.
+//! Only the placement memory is replaced. The router keeps its requests in flight and its slots,
+//! so that they do not affect the result.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,39 +11,40 @@
 use super::router::Router;
 use super::{Measures, Policy, Scenario, measure};
 
-/// The router that is replaced.
-const REPLACED: usize = 0;
-/// The most chats that are passed on, and how old they may be; as the daemon has them.
-const PASSED_CHATS: usize = 10_000;
-const WARM_FOR_MS: u64 = 3_600_000;
+/// Index of the router that is replaced.
+const REPLACED_ROUTER: usize = 0;
+/// Maximum number of chats in a handover or snapshot; the same as in the daemon.
+const MAX_EXPORTED_CHATS: usize = 10_000;
+/// Maximum age of a chat's hint in a handover or snapshot; the same as in the daemon.
+const MAX_HINT_AGE_MS: u64 = 3_600_000;
 
-/// What becomes of the memory of the router that is replaced.
+/// What happens to the placement memory of the replaced router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Replaced {
-    /// It is not replaced.
+pub enum ReplacementMode {
+    /// The router is not replaced.
     Not,
-    /// Nothing of it is kept.
+    /// The memory is lost.
     Lost,
-    /// It is handed over to the router that takes its place.
+    /// The memory is handed over to the router that takes its place.
     HandedToOne,
-    /// Each chat is handed over to one router, by rendezvous.
+    /// Each chat is handed over to one router, chosen by rendezvous hashing.
     HandedSplit,
-    /// It is handed over to all routers.
+    /// The memory is handed over to all routers.
     HandedToAll,
-    /// All routers read a snapshot of this age.
+    /// All routers load an earlier snapshot of the memory.
     Snapshot {
-        /// The age.
+        /// Age of the snapshot at the replacement.
         age_ms: u64,
     },
-    /// Both of the above.
+    /// The memory is handed over to all routers, and all routers load a snapshot.
     HandedToAllAndSnapshot {
-        /// The age of the snapshot.
+        /// Age of the snapshot at the replacement.
         age_ms: u64,
     },
 }
 
-impl Replaced {
-    /// Each of them, as it is measured.
+impl ReplacementMode {
+    /// All measured modes.
     pub const ALL: [Self; 8] = [
         Self::Not,
         Self::Lost,
@@ -62,15 +64,15 @@
     }
 }
 
-/// The replacement while a run goes on.
+/// State and results of the replacement during a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replacement {
     snapshot: WarmList,
     snapshot_ms: u64,
-    /// The router that answered each chat last.
-    last: BTreeMap<u64, usize>,
-    /// Chats of the replaced router that have not returned yet.
-    awaited: BTreeSet<u64>,
+    /// For each chat, the router of its last answer.
+    last_router: BTreeMap<u64, usize>,
+    /// Chats of the replaced router whose next request has not started yet.
+    awaited_chats: BTreeSet<u64>,
     pub(crate) returns: u64,
     pub(crate) prompt_tokens: u64,
     pub(crate) cached_tokens: u64,
@@ -78,42 +80,49 @@
 
 impl Replacement {
     pub(crate) fn take_snapshot(&mut self, routers: &[Router], now_ms: u64) {
-        self.snapshot = passed_on(&routers[REPLACED], now_ms);
+        self.snapshot = exported_hints(&routers[REPLACED_ROUTER], now_ms);
         self.snapshot_ms = now_ms;
     }
 
-    pub(crate) fn replace(&mut self, how: Replaced, routers: &mut [Router], now_ms: u64) {
-        let served_there = self.last.iter().filter(|(_, router)| **router == REPLACED);
-        self.awaited = served_there.map(|(chat, _)| *chat).collect();
-        let told = passed_on(&routers[REPLACED], now_ms);
-        if how != Replaced::Not {
-            routers[REPLACED].forget();
+    pub(crate) fn replace(&mut self, mode: ReplacementMode, routers: &mut [Router], now_ms: u64) {
+        let served_chats = self
+            .last_router
+            .iter()
+            .filter(|(_, router)| **router == REPLACED_ROUTER);
+        self.awaited_chats = served_chats.map(|(chat, _)| *chat).collect();
+        let handed_over = exported_hints(&routers[REPLACED_ROUTER], now_ms);
+        if mode != ReplacementMode::Not {
+            routers[REPLACED_ROUTER].clear_memory();
         }
         let ids: Vec<RouterId> = routers.iter().map(|router| router.id).collect();
-        let takes = |router: usize, chat: u64| match how {
-            Replaced::HandedToOne => router == REPLACED,
-            Replaced::HandedSplit => {
+        let receives = |router: usize, chat: u64| match mode {
+            ReplacementMode::HandedToOne => router == REPLACED_ROUTER,
+            ReplacementMode::HandedSplit => {
                 top_by_rendezvous(chat, &ids, 1, |id| (id.0, 1.0)) == [&ids[router]]
             }
-            Replaced::HandedToAll | Replaced::HandedToAllAndSnapshot { .. } => true,
-            Replaced::Not | Replaced::Lost | Replaced::Snapshot { .. } => false,
+            ReplacementMode::HandedToAll | ReplacementMode::HandedToAllAndSnapshot { .. } => true,
+            ReplacementMode::Not | ReplacementMode::Lost | ReplacementMode::Snapshot { .. } => {
+                false
+            }
         };
         for (index, router) in routers.iter_mut().enumerate() {
-            let taken = told.places(0).filter(|(chat, _)| takes(index, chat.0));
-            router.merge(taken, now_ms);
-            if how.snapshot_age_ms().is_some() {
-                router.merge(self.snapshot.places(now_ms - self.snapshot_ms), now_ms);
+            let received = handed_over
+                .places(0)
+                .filter(|(chat, _)| receives(index, chat.0));
+            router.merge_hints(received, now_ms);
+            if mode.snapshot_age_ms().is_some() {
+                router.merge_hints(self.snapshot.places(now_ms - self.snapshot_ms), now_ms);
             }
         }
     }
 
-    pub(crate) fn note_answer(&mut self, chat: u64, router: usize) {
-        self.last.insert(chat, router);
+    pub(crate) fn record_answer(&mut self, chat: u64, router: usize) {
+        self.last_router.insert(chat, router);
     }
 
-    /// Counts the first return of a chat of the replaced router.
-    pub(crate) fn note_start(&mut self, chat: u64, prompt_tokens: u32, cached_tokens: u32) {
-        if self.awaited.remove(&chat) {
+    /// Counts the first request of a chat after the replacement of its router.
+    pub(crate) fn record_start(&mut self, chat: u64, prompt_tokens: u32, cached_tokens: u32) {
+        if self.awaited_chats.remove(&chat) {
             self.returns += 1;
             self.prompt_tokens += u64::from(prompt_tokens);
             self.cached_tokens += u64::from(cached_tokens);
@@ -121,20 +130,20 @@
     }
 }
 
-fn passed_on(router: &Router, now_ms: u64) -> WarmList {
+fn exported_hints(router: &Router, now_ms: u64) -> WarmList {
     let memory = &router.memory;
     let all = 0..memory.buckets();
-    let mut places = memory.in_buckets(all, WARM_FOR_MS, now_ms).collect();
-    keep_newest(&mut places, PASSED_CHATS);
-    WarmList::new(places)
+    let mut hints = memory.in_buckets(all, MAX_HINT_AGE_MS, now_ms).collect();
+    keep_newest(&mut hints, MAX_EXPORTED_CHATS);
+    WarmList::new(hints)
 }
 
-/// Prints what each way keeps, over all seeds, for callers that send no value back.
+/// Prints the cache reuse of each mode over all seeds, for callers that send no value back.
 pub(super) fn run(scenario: &Scenario, seeds: std::ops::Range<u64>) {
     println!("way                                        seeds returns   warm  whole run");
-    for replaced in Replaced::ALL {
+    for mode in ReplacementMode::ALL {
         let scenario = Scenario {
-            replaced: Some(replaced),
+            replacement_mode: Some(mode),
             caller_value_chance: 0.0,
             ..scenario.clone()
         };
@@ -145,7 +154,7 @@
         let returns: u64 = all.iter().map(|one| one.returns).sum();
         let warm = mean(all.iter().map(|one| one.return_warm_fraction));
         let whole = mean(all.iter().map(|one| one.warm_token_fraction));
-        let name = format!("{replaced:?}");
+        let name = format!("{mode:?}");
         println!(
             "{name:<42} {:>5} {returns:>7} {warm:>6.4} {whole:>10.4}",
             all.len()
--- a/crates/sapphiretrack-bench/src/policy/router/heartbeats.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/heartbeats.rs
@@ -1,25 +1,29 @@
-//! What a router tells its peers, and what it takes from theirs.
+//! Heartbeats between simulated routers.
 
 use sapphiretrack_core::{HeldSlots, LoadReport, ServerId, VmState};
 use sapphiretrack_peer::{Heartbeat, InFlight, ServerState};
 
-use super::{Router, news_version};
+use super::{Router, state_version};
 
 impl Router {
-    /// The heartbeat for a peer.
+    /// Builds the heartbeat for the peer with index `to`.
     pub(crate) fn heartbeat(&mut self, to: usize, now_ms: u64) -> Heartbeat {
-        let steward = self.all[to];
-        self.names.note_sent(steward, now_ms);
+        let steward = self.router_ids[to];
+        self.steward_consents.note_sent(steward, now_ms);
         self.sequence += 1;
-        let consents = |server: &ServerId| self.names.consent(*server) == Some(steward);
+        let is_consented =
+            |server: &ServerId| self.steward_consents.consent(*server) == Some(steward);
         let listed = self
             .servers
             .iter()
             .enumerate()
-            .filter(|(_, id)| consents(id));
+            .filter(|(_, id)| is_consented(id));
         let by_server = listed
             .map(|(server, id)| {
-                let held = self.held.iter().filter(|(_, held)| held.server == server);
+                let held = self
+                    .reservations
+                    .iter()
+                    .filter(|(_, entry)| entry.server == server);
                 (*id, held.map(|(reservation, _)| *reservation).collect())
             })
             .collect();
@@ -31,9 +35,9 @@
             state: VmState::Live,
             config_version: 1,
             profile: None,
-            in_flight: self.told_counts(to),
+            in_flight: self.in_flight_update(to),
             servers: self
-                .watched()
+                .probed_servers()
                 .map(|server| self.server_state(server))
                 .collect(),
             held: HeldSlots {
@@ -47,50 +51,52 @@
         }
     }
 
-    /// The counts for a peer: whole after a heartbeat that was lost, else what changed.
-    pub(super) fn told_counts(&mut self, to: usize) -> InFlight {
+    /// Returns the counts of requests in flight for a peer: all nonzero counts if the last
+    /// heartbeat got no reply, otherwise only the changed ones.
+    pub(super) fn in_flight_update(&mut self, to: usize) -> InFlight {
         let peer = &mut self.peers[to];
-        let whole = !peer.answered;
-        let told = self
-            .own
+        let whole = !peer.has_replied;
+        let changed = self
+            .own_in_flight
             .iter()
             .enumerate()
             .filter(|(server, own)| match whole {
                 true => **own > 0,
-                false => **own != peer.told[*server],
+                false => **own != peer.sent_counts[*server],
             });
-        let counts = told
+        let counts = changed
             .map(|(server, own)| (self.servers[server], *own as u16))
             .collect();
-        peer.told.clone_from(&self.own);
-        peer.answered = false;
+        peer.sent_counts.clone_from(&self.own_in_flight);
+        peer.has_replied = false;
         InFlight { whole, counts }
     }
 
-    /// Notes that a peer answered the last heartbeat.
-    pub(crate) fn note_answered(&mut self, peer: usize) {
-        self.peers[peer].answered = true;
+    /// Records that a peer replied to the last heartbeat.
+    pub(crate) fn record_heartbeat_reply(&mut self, peer: usize) {
+        self.peers[peer].has_replied = true;
     }
 
-    /// The servers whose load reports this router fetches.
-    pub(crate) fn watched(&self) -> impl Iterator<Item = usize> + '_ {
-        let is_own = |id: &ServerId| self.names.steward(*id) == Some(self.id);
+    /// Returns the servers whose load reports this router fetches: those that it is the steward of,
+    /// by its own view.
+    pub(crate) fn probed_servers(&self) -> impl Iterator<Item = usize> + '_ {
+        let is_own = |id: &ServerId| self.steward_consents.steward(*id) == Some(self.id);
         let servers = self.servers.iter().enumerate();
         servers
             .filter(move |(_, id)| is_own(id))
             .map(|(server, _)| server)
     }
 
-    /// Takes in a peer's heartbeat; returns the servers that have just joined.
-    pub(crate) fn take_heartbeat(
+    /// Applies a peer's heartbeat and returns the servers that have just joined.
+    pub(crate) fn apply_heartbeat(
         &mut self,
         from: usize,
         heartbeat: &Heartbeat,
         now_ms: u64,
     ) -> Vec<usize> {
         let peer = &mut self.peers[from];
-        peer.seen_ms = now_ms;
-        self.asks.note_seen(heartbeat.router);
+        peer.last_heartbeat_ms = now_ms;
+        self.steward_backoff.note_seen(heartbeat.router);
         if heartbeat.in_flight.whole {
             peer.in_flight.fill(0);
         }
@@ -102,13 +108,13 @@
         self.ledger
             .reconcile(heartbeat.router, &heartbeat.held, now_ms);
         let sum = self.peers[from].in_flight.iter().sum();
-        self.note_pool_load(heartbeat.router, sum, now_ms);
+        self.record_pool_load(heartbeat.router, sum, now_ms);
         let mut joined = Vec::new();
         for state in &heartbeat.servers {
             let position = self.servers.iter().position(|id| *id == state.server);
             let Some(server) = position else { continue };
-            let version = news_version(state.report.incarnation, state.state);
-            if self.learn(server, state.state, version) {
+            let version = state_version(state.report.incarnation, state.state);
+            if self.apply_state(server, state.state, version) {
                 joined.push(server);
             }
         }
@@ -119,13 +125,13 @@
         let view = &self.view.servers[server];
         ServerState {
             server: view.id,
-            state: match self.versions[server] % 2 {
+            state: match self.state_versions[server] % 2 {
                 0 => VmState::Live,
                 _ => VmState::Leaving,
             },
             reachable: true,
             report: LoadReport {
-                incarnation: self.versions[server] / 2,
+                incarnation: self.state_versions[server] / 2,
                 ..view.report
             },
         }
--- a/crates/sapphiretrack-bench/src/policy/router/mod.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/mod.rs
@@ -1,4 +1,4 @@
-//! One router of the policy run: the daemon's decisions over a view of its own.
+//! A simulated router: the decision logic of the daemon with a view of its own.
 
 mod heartbeats;
 mod load;
@@ -16,100 +16,101 @@
 
 use super::trace::Turn;
 
-/// After this silence a router is no longer taken to be live.
+/// A router without a heartbeat for this long is not considered live.
 const DEAD_AFTER_MS: u64 = 3_000;
-/// Chats that a router remembers.
+/// Capacity of a router's placement memory, in chats.
 const MEMORY_CHATS: usize = 100_000;
 
-/// One router.
+/// A simulated router.
 pub(crate) struct Router {
     pub(crate) id: RouterId,
-    all: Vec<RouterId>,
+    router_ids: Vec<RouterId>,
     servers: Vec<ServerId>,
     placement: PlacementSettings,
     drain: DrainSettings,
-    names: StewardNames,
-    asks: AskMemory,
+    steward_consents: StewardNames,
+    steward_backoff: AskMemory,
     ledger: Ledger,
     pub(super) memory: PlacementMemory,
     shares: WorkspaceShares,
     view: PoolView,
-    /// The version of the last news of each server.
-    versions: Vec<u64>,
-    /// This router's requests in flight by server.
-    own: Vec<u32>,
-    held: BTreeMap<ReservationId, Held>,
+    /// The latest known version of each server's state, see [`state_version`].
+    state_versions: Vec<u64>,
+    /// This router's requests in flight on each server.
+    own_in_flight: Vec<u32>,
+    reservations: BTreeMap<ReservationId, Reservation>,
     next_reservation: u32,
-    reported_ms: u64,
+    last_report_ms: u64,
     sequence: u64,
     peers: Vec<Peer>,
 }
 
-/// A server to try for a request.
+/// A server to try for a request, with what the router expects there.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub(crate) server: usize,
-    /// Where the chat's cached tokens are imported from.
+    /// The server to import the chat's cached tokens from.
     pub(crate) import_from: Option<usize>,
-    /// Prompt tokens that the server is expected to compute.
+    /// Prompt tokens that the server is expected to prefill.
     pub(crate) uncached_tokens: u32,
-    /// What is told to a steward that is asked again.
-    pub(crate) told: Option<ToldLoad>,
+    /// The load that is sent to a steward with a repeated slot request.
+    pub(crate) known_load: Option<ToldLoad>,
 }
 
-/// The candidates by their places in the list of servers.
-pub(crate) fn tries(servers: &[ServerId], ranked: &[Candidate]) -> Vec<Try> {
+/// Converts ranked candidates into attempts, with servers as indices into `servers`.
+pub(crate) fn to_attempts(servers: &[ServerId], ranked: &[Candidate]) -> Vec<Attempt> {
     let position = |wanted: ServerId| servers.iter().position(|id| *id == wanted);
-    let found = ranked.iter().filter_map(|candidate| {
-        Some(Try {
+    let attempts = ranked.iter().filter_map(|candidate| {
+        Some(Attempt {
             server: position(candidate.server)?,
             import_from: candidate.import_from.and_then(position),
             uncached_tokens: candidate.uncached_tokens,
-            told: None,
+            known_load: None,
         })
     });
-    found.collect()
+    attempts.collect()
 }
 
-/// A slot that this router holds or has asked for.
+/// A slot that this router holds or has requested.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Reservation {
     server: usize,
     uncached_tokens: u32,
-    asked_ms: u64,
+    requested_ms: u64,
 }
 
-/// A peer as last seen.
+/// The last known state of a peer.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    seen_ms: u64,
+    last_heartbeat_ms: u64,
     in_flight: Vec<u32>,
-    /// What this router told it last, and whether it answered.
-    told: Vec<u32>,
-    answered: bool,
+    /// The counts of requests in flight in the last heartbeat to the peer.
+    sent_counts: Vec<u32>,
+    /// Whether the peer has replied to the last heartbeat.
+    has_replied: bool,
     pool_in_flight: u32,
-    pool_seen_ms: u64,
+    pool_load_at_ms: u64,
 }
 
 impl Router {
     pub(crate) fn new(
         index: usize,
-        all: &[RouterId],
+        router_ids: &[RouterId],
         servers: &[ServerId],
-        listed: usize,
+        initial_servers: usize,
         placement: PlacementSettings,
     ) -> Self {
         let consent = ConsentSettings::default();
         let views = servers.iter().map(|id| server_view(*id)).collect();
         let mut router = Self {
-            id: all[index],
-            all: all.to_vec(),
+            id: router_ids[index],
+            router_ids: router_ids.to_vec(),
             servers: servers.to_vec(),
             placement,
             drain: DrainSettings::default(),
-            names: StewardNames::new(consent),
-            asks: AskMemory::new(AskSettings::default()),
-            ledger: Ledger::new(all[index], LedgerSettings::default()),
+            steward_consents: StewardNames::new(consent),
+            steward_backoff: AskMemory::new(AskSettings::default()),
+            ledger: Ledger::new(router_ids[index], LedgerSettings::default()),
             memory: PlacementMemory::new(MEMORY_CHATS),
             shares: WorkspaceShares::default(),
             view: PoolView {
@@ -117,33 +118,35 @@
                 kind: PoolKind::Engine,
                 servers: views,
             },
-            versions: vec![news_version(1, VmState::Live); servers.len()],
-            own: vec![0; servers.len()],
-            held: BTreeMap::new(),
+            state_versions: vec![state_version(1, VmState::Live); servers.len()],
+            own_in_flight: vec![0; servers.len()],
+            reservations: BTreeMap::new(),
+            // Near the maximum, so that runs include the wrap-around of reservation ids.
             next_reservation: u32::MAX - 1_000,
             sequence: 0,
-            reported_ms: 0,
-            peers: vec![Peer::default(); all.len()],
+            last_report_ms: 0,
+            peers: vec![Peer::default(); router_ids.len()],
         };
         for peer in &mut router.peers {
             peer.in_flight = vec![0; servers.len()];
-            peer.told = vec![0; servers.len()];
+            peer.sent_counts = vec![0; servers.len()];
         }
-        for server in &mut router.view.servers[listed..] {
+        for server in &mut router.view.servers[initial_servers..] {
             server.state = VmState::Leaving;
         }
-        router.versions[listed..].fill(0);
+        router.state_versions[initial_servers..].fill(0);
         router
     }
 
-    /// Learns whether a server takes new work; older news than known is passed over.
+    /// Applies a state of a server unless a newer one is known.
     ///
-    /// Returns whether the server has just joined: then [`Router::settle`] follows later.
-    pub(crate) fn learn(&mut self, server: usize, state: VmState, version: u64) -> bool {
-        if version <= self.versions[server] {
+    /// Returns whether the server has just joined; the caller then schedules
+    /// [`Router::finish_join`].
+    pub(crate) fn apply_state(&mut self, server: usize, state: VmState, version: u64) -> bool {
+        if version <= self.state_versions[server] {
             return false;
         }
-        self.versions[server] = version;
+        self.state_versions[server] = version;
         let view = &mut self.view.servers[server];
         let joins = state == VmState::Live && view.state != VmState::Live;
         view.state = state;
@@ -151,23 +154,23 @@
         joins
     }
 
-    /// Meets a closed port.
-    pub(crate) fn note_closed(&mut self, server: usize) {
+    /// Stops sending requests to a server that refused a connection, until a newer state is known.
+    pub(crate) fn mark_unreachable(&mut self, server: usize) {
         self.view.servers[server].state = VmState::Leaving;
     }
 
-    /// A server that joined may take requests from now on.
-    pub(crate) fn settle(&mut self, server: usize) {
+    /// Lets a server that joined receive requests.
+    pub(crate) fn finish_join(&mut self, server: usize) {
         self.view.servers[server].is_joining = false;
     }
 
-    /// Whether this router counts a server's slots.
+    /// Returns whether this router is the steward of a server, that is, counts its slots.
     pub(crate) fn is_steward(&self, server: usize) -> bool {
         self.ledger.held(self.servers[server]).is_some()
     }
 
-    /// Whether this router would send requests to a server.
-    pub(crate) fn is_open(&self, server: usize) -> bool {
+    /// Returns whether this router sends requests to a server.
+    pub(crate) fn sends_requests_to(&self, server: usize) -> bool {
         self.view.servers[server].is_open()
     }
 
@@ -175,57 +178,59 @@
         self.view.servers[server].state == VmState::Live
     }
 
-    pub(crate) fn reported(&self, server: usize) -> u32 {
+    pub(crate) fn reported_requests(&self, server: usize) -> u32 {
         let report = &self.view.servers[server].report;
         report.running + report.queued
     }
 
-    pub(crate) fn own(&self, server: usize) -> u32 {
-        self.own[server]
+    pub(crate) fn own_in_flight(&self, server: usize) -> u32 {
+        self.own_in_flight[server]
     }
 
-    pub(crate) fn note_sent(&mut self, server: usize) {
-        self.own[server] += 1;
+    pub(crate) fn record_sent(&mut self, server: usize) {
+        self.own_in_flight[server] += 1;
     }
 
-    pub(crate) fn note_ended(&mut self, server: usize) {
-        self.own[server] -= 1;
+    pub(crate) fn record_ended(&mut self, server: usize) {
+        self.own_in_flight[server] -= 1;
     }
 
-    /// Settles what time alone changes.
-    pub(crate) fn tick(&mut self, now_ms: u64) {
+    /// Updates the live routers of the ledger and the consents to stewards.
+    pub(crate) fn update_stewardship(&mut self, now_ms: u64) {
         let live = self.live_routers(now_ms);
-        let consents = |server: &ServerId| self.names.consent(*server) == Some(self.id);
-        let stewarded: Vec<ServerId> = self.servers.iter().copied().filter(consents).collect();
-        self.names.note_sent(self.id, now_ms);
+        let is_consented =
+            |server: &ServerId| self.steward_consents.consent(*server) == Some(self.id);
+        let stewarded: Vec<ServerId> = self.servers.iter().copied().filter(is_consented).collect();
+        self.steward_consents.note_sent(self.id, now_ms);
         let view = CellView {
             stewarded: &stewarded,
             live: &live,
-            known: &self.all,
+            known: &self.router_ids,
             ended: &[],
         };
         self.ledger.set_view(&view, now_ms);
-        let may_begin = self.ledger.sees_cell();
+        let may_consent = self.ledger.sees_cell();
         for server in &self.servers {
             if let Some(steward) = steward_of(*server, &live) {
-                self.names.want(*server, steward, may_begin, now_ms);
+                self.steward_consents
+                    .want(*server, steward, may_consent, now_ms);
             }
         }
     }
 
-    /// The servers to try, best first.
+    /// Returns the servers to try for a request, best first.
     pub(crate) fn rank(
         &mut self,
         turn: &Turn,
-        told: Option<WarmHint>,
+        caller_hint: Option<WarmHint>,
         share: f64,
         now_ms: u64,
-    ) -> Vec<Try> {
-        self.correct_loads(now_ms);
+    ) -> Vec<Attempt> {
+        self.update_view_loads(now_ms);
         let chat = ChatKey(turn.chat);
         let workspace = WorkspaceKey(turn.workspace);
         let remembered = self.memory.recall(chat, now_ms);
-        let warm: Vec<WarmHint> = told.into_iter().chain(remembered).collect();
+        let warm: Vec<WarmHint> = caller_hint.into_iter().chain(remembered).collect();
         let request = PlacementRequest {
             workspace,
             workspace_share: self.shares.note(workspace, now_ms),
@@ -236,45 +241,46 @@
             zone: "",
         };
         let ranked = rank_servers(&self.placement, &self.view, &request);
-        tries(&self.servers, &ranked)
+        to_attempts(&self.servers, &ranked)
     }
 
-    pub(crate) fn remember(&mut self, chat: u64, place: WarmHint, now_ms: u64) {
-        self.memory.remember(ChatKey(chat), place, now_ms);
+    pub(crate) fn remember(&mut self, chat: u64, hint: WarmHint, now_ms: u64) {
+        self.memory.remember(ChatKey(chat), hint, now_ms);
     }
 
-    /// Loses all that is known of warm chats.
-    pub(crate) fn forget(&mut self) {
+    /// Clears the placement memory.
+    pub(crate) fn clear_memory(&mut self) {
         self.memory = PlacementMemory::new(MEMORY_CHATS);
     }
 
-    /// Takes in what another router knew.
-    pub(crate) fn merge<Places>(&mut self, places: Places, now_ms: u64)
+    /// Merges the hints of another router into the placement memory.
+    pub(crate) fn merge_hints<Hints>(&mut self, hints: Hints, now_ms: u64)
     where
-        Places: IntoIterator<Item = (ChatKey, WarmHint)>,
+        Hints: IntoIterator<Item = (ChatKey, WarmHint)>,
     {
-        for (chat, place) in places {
-            self.memory.merge(chat, place, now_ms);
+        for (chat, hint) in hints {
+            self.memory.merge(chat, hint, now_ms);
         }
     }
 
     fn live_routers(&self, now_ms: u64) -> Vec<RouterId> {
-        let known = self.all.iter().zip(&self.peers);
+        let known = self.router_ids.iter().zip(&self.peers);
         known
             .filter(|(id, peer)| {
-                **id == self.id || now_ms.saturating_sub(peer.seen_ms) < DEAD_AFTER_MS
+                **id == self.id || now_ms.saturating_sub(peer.last_heartbeat_ms) < DEAD_AFTER_MS
             })
             .map(|(id, _)| *id)
             .collect()
     }
 }
 
-/// Orders the news of a server: a later run after an earlier one, leaving after live.
-pub(crate) fn news_version(incarnation: u64, state: VmState) -> u64 {
+/// Returns a version that orders the states of a server: a later incarnation is newer, and within
+/// an incarnation leaving is newer than live.
+pub(crate) fn state_version(incarnation: u64, state: VmState) -> u64 {
     incarnation * 2 + u64::from(state == VmState::Leaving)
 }
 
-/// Stands for all addresses; they are all of the same encoded size.
+/// A placeholder for all server addresses; all IPv4 addresses have the same encoded size.
 const ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
 pub(crate) fn server_view(id: ServerId) -> ServerView {
--- a/crates/sapphiretrack-bench/src/policy/router/slots.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/slots.rs
@@ -1,39 +1,47 @@
-//! Slots: whom a router asks, and how it decides as steward.
+//! Slot requests to stewards, and the decisions of a router as steward.
 
 use sapphiretrack_core::{
     FullServer, Grant, ReservationId, ReserveRequest, RouterId, ServerId, ToldLoad, ask_again,
 };
 
-use super::{Held, Router, Try};
+use super::{Attempt, Reservation, Router};
 
 impl Router {
-    /// Whether a steward that refused is worth asking again, and what it is told.
-    pub(crate) fn ask_again(&self, full: FullServer, share: f64, now_ms: u64) -> Option<ToldLoad> {
+    /// Returns the load to send with a repeated slot request if the steward is expected to grant it
+    /// then, and `None` if the request is not worth repeating.
+    pub(crate) fn load_for_repeat(
+        &self,
+        full: FullServer,
+        share: f64,
+        now_ms: u64,
+    ) -> Option<ToldLoad> {
         let load = self.pool_load(now_ms);
         ask_again(&self.placement.bound, &load, share, full)
     }
 
-    /// Notes a steward that did not answer.
-    pub(crate) fn note_silent(&mut self, steward: usize, now_ms: u64) {
-        self.asks.note_silent(self.all[steward], now_ms);
+    /// Records that a steward did not reply in time.
+    pub(crate) fn record_steward_timeout(&mut self, steward: usize, now_ms: u64) {
+        self.steward_backoff
+            .note_silent(self.router_ids[steward], now_ms);
     }
 
-    /// Notes a refusal by another router that does not count the server's slots.
-    pub(crate) fn note_not_steward(&mut self, steward: usize, server: usize, now_ms: u64) {
-        let (steward, server) = (self.all[steward], self.servers[server]);
+    /// Records that another router refused because it is not the server's steward.
+    pub(crate) fn record_not_steward(&mut self, steward: usize, server: usize, now_ms: u64) {
+        let (steward, server) = (self.router_ids[steward], self.servers[server]);
         if steward != self.id {
-            self.asks.note_not_steward(steward, server, now_ms);
+            self.steward_backoff
+                .note_not_steward(steward, server, now_ms);
         }
     }
 
-    /// Notes what a steward that refused for want of room says of its own load.
-    pub(crate) fn note_full(&mut self, steward: usize, full: FullServer, now_ms: u64) {
-        if self.all[steward] != self.id {
-            self.note_pool_load(self.all[steward], u32::from(full.in_flight), now_ms);
+    /// Records the requests in flight of a steward that refused because the server is full.
+    pub(crate) fn record_full_refusal(&mut self, steward: usize, full: FullServer, now_ms: u64) {
+        if self.router_ids[steward] != self.id {
+            self.record_pool_load(self.router_ids[steward], u32::from(full.in_flight), now_ms);
         }
     }
 
-    /// What a refusal for want of room tells the asker.
+    /// Returns the counts that a steward sends when it refuses because the server is full.
     pub(crate) fn full_server(&self, server: ServerId, now_ms: u64) -> FullServer {
         FullServer {
             held: self.ledger.held(server).unwrap_or(0) as u16,
@@ -42,22 +50,23 @@
         }
     }
 
-    /// Begins a reservation: whom to ask, and what.
-    pub(crate) fn begin(
+    /// Begins a reservation and returns the index of the steward to ask, if one is known and may be
+    /// asked now, and the request.
+    pub(crate) fn begin_reservation(
         &mut self,
-        wanted: &Try,
+        attempt: &Attempt,
         share: f64,
         now_ms: u64,
     ) -> (Option<usize>, ReserveRequest) {
-        let server = wanted.server;
+        let server = attempt.server;
         let reservation = ReservationId(self.next_reservation);
         self.next_reservation = self.next_reservation.wrapping_add(1);
-        let held = Held {
+        let entry = Reservation {
             server,
-            uncached_tokens: wanted.uncached_tokens,
-            asked_ms: now_ms,
+            uncached_tokens: attempt.uncached_tokens,
+            requested_ms: now_ms,
         };
-        self.held.insert(reservation, held);
+        self.reservations.insert(reservation, entry);
         let request = ReserveRequest {
             router: self.id,
             reservation,
@@ -65,39 +74,45 @@
             bound_share: share as f32,
             in_flight: self.pool_in_flight() as u16,
         };
-        let steward = self.names.steward(self.servers[server]);
-        let asked = steward.filter(|id| self.asks.may_ask(*id, self.servers[server], now_ms));
-        let index = self.all.iter().position(|id| Some(*id) == asked);
+        let steward = self.steward_consents.steward(self.servers[server]);
+        let steward = steward.filter(|id| {
+            self.steward_backoff
+                .may_ask(*id, self.servers[server], now_ms)
+        });
+        let index = self.router_ids.iter().position(|id| Some(*id) == steward);
         (index, request)
     }
 
-    /// Ends a reservation.
-    pub(crate) fn end(&mut self, reservation: ReservationId) {
-        self.held.remove(&reservation);
+    /// Removes a reservation that was not granted or has ended.
+    pub(crate) fn end_reservation(&mut self, reservation: ReservationId) {
+        self.reservations.remove(&reservation);
     }
 
-    /// Decides about a slot, as steward.
+    /// Decides on a slot request, as steward.
     ///
-    /// `told` is what the asker knows of the pool's load.
+    /// `known_load` is the load of the pool as the requesting router knows it; only repeated
+    /// requests contain it.
     pub(crate) fn reserve(
         &mut self,
         request: &ReserveRequest,
-        told: Option<ToldLoad>,
+        known_load: Option<ToldLoad>,
         now_ms: u64,
     ) -> Grant {
-        self.note_pool_load(request.router, u32::from(request.in_flight), now_ms);
+        self.record_pool_load(request.router, u32::from(request.in_flight), now_ms);
         let Some(server) = self.servers.iter().position(|id| *id == request.server) else {
             return Grant::NotSteward;
         };
-        if !self.is_open(server) {
+        if !self.sends_requests_to(server) {
             return Grant::Full;
         }
-        let load = self.pool_load(now_ms).with_told(told.unwrap_or_default());
+        let load = self
+            .pool_load(now_ms)
+            .with_told(known_load.unwrap_or_default());
         let bound = self.placement.bound;
         self.ledger.reserve(request, &bound, &load, now_ms)
     }
 
-    /// Takes a slot back, as steward.
+    /// Releases a slot, as steward.
     pub(crate) fn release(
         &mut self,
         router: RouterId,
@@ -106,7 +121,7 @@
         in_flight: u32,
         now_ms: u64,
     ) {
-        self.note_pool_load(router, in_flight, now_ms);
+        self.record_pool_load(router, in_flight, now_ms);
         self.ledger
             .release(router, self.servers[server], reservation);
     }
--- a/crates/sapphiretrack-bench/src/policy/scenario.rs
+++ b/crates/sapphiretrack-bench/src/policy/scenario.rs
@@ -1,32 +1,32 @@
-//! What a policy run goes through: sizes, load and faults.
+//! Scenarios of the policy simulation: sizes, load and faults.
 
 use std::str::FromStr;
 
 use sapphiretrack_core::PlacementSettings;
 
-use super::Replaced;
+use super::ReplacementMode;
 
-/// The scenarios by name.
+/// The predefined scenarios.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ScenarioName {
-    /// Nothing changes.
+    /// Constant load without faults.
     Steady,
-    /// Servers join, leave, flap, and restart with an empty cache.
+    /// Servers join, leave, fail, flap, and restart with an empty cache.
     Churn,
-    /// A few large workspaces surge at once.
+    /// Two large workspaces send more requests in the middle third of the run.
     Surge,
-    /// For seconds, routers see different lists of servers and of routers.
+    /// Routers are partitioned from each other for seconds and see different server lists.
     Disagree,
-    /// The shared assistant of Cacao Teranga: long sessions that return.
+    /// The shared assistant of Cacao Teranga: long chats that return often.
     Teranga,
-    /// The language model service of Monterrey: many urgent calls.
+    /// The language model service of Monterrey: many urgent requests.
     Monterrey,
     /// One cell of the design size.
     Fleet,
 }
 
 impl ScenarioName {
-    /// All of them.
+    /// All scenarios.
     pub const ALL: [Self; 7] = [
         Self::Steady,
         Self::Churn,
@@ -37,7 +37,7 @@
         Self::Fleet,
     ];
 
-    /// As the command line names it.
+    /// Returns the name on the command line and in the output.
     pub fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -58,58 +58,61 @@
         let found = Self::ALL.into_iter().find(|known| known.name() == text);
         found.ok_or_else(|| {
             let names = Self::ALL.map(Self::name).join(", ");
-            format!("no scenario {text:?}; hint: one of {names}")
+            format!("unknown scenario {text:?}; hint: one of {names}")
         })
     }
 }
 
-/// Sizes, load and faults of a run.
+/// Sizes, load, faults and settings of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Which one it started as.
+    /// The predefined scenario that this one is based on.
     pub name: ScenarioName,
-    /// Routers of a cell.
+    /// Number of routers in the cell.
     pub routers: usize,
-    /// Backend servers of a cell.
+    /// Number of backend servers in the cell.
     pub servers: usize,
-    /// Workspaces.
+    /// Number of workspaces.
     pub workspaces: usize,
-    /// Chats at a time; each one that ends is followed by a new one.
+    /// Number of concurrent chats; each chat that ends is followed by a new one.
     pub chats: usize,
-    /// Requests a second.
+    /// Requests per second of all chats together.
     pub rate_per_s: f64,
-    /// How long the load lasts.
+    /// Duration of the load, in minutes.
     pub minutes: f64,
-    /// How old servers' load reports are when routers read them.
+    /// Interval between the servers' load reports, and so the greatest age of a report.
     pub report_lag_ms: u64,
-    /// Servers that join, and then again leave.
+    /// Servers that join or leave, per minute.
     pub joins_per_min: f64,
-    /// Servers that fail and come back with an empty cache.
+    /// Servers that fail and restart with an empty cache, per minute; some of them fail twice.
     pub fails_per_min: f64,
-    /// Router pairs that lose each other for seconds, and lists that differ.
-    pub splits_per_min: f64,
-    /// The part of the run in which a few workspaces send more, and how many times more.
+    /// Partitions between two routers, or between one and all others, per minute; above 0, routers
+    /// also learn of server states up to 5 s late instead of 1 s.
+    pub partitions_per_min: f64,
+    /// Factor by which two large workspaces send more requests in the middle third of the run.
     pub surge_multiple: f64,
-    /// Part of the requests that are urgent.
-    pub urgent_part: f64,
-    /// Part of the returning requests that send the chat's value back.
+    /// Fraction of the requests that are urgent.
+    pub urgent_fraction: f64,
+    /// Fraction of the requests of returning chats that send the chat's value back.
     pub caller_value_chance: f64,
-    /// Time between heartbeats of a router.
+    /// Interval between the heartbeats of a router.
     pub heartbeat_ms: u64,
     /// One-way delay between routers.
     pub peer_delay_us: u64,
-    /// Mean pause of a chat between two requests.
+    /// Mean pause between two requests of a chat, in seconds; unused, since the pause follows from
+    /// `chats` and `rate_per_s`.
     pub pause_s: f64,
     /// Mean number of requests of a chat.
     pub turns: f64,
-    /// Tokens that an engine's prefix cache holds.
+    /// Capacity of an engine's prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// Whether returning chats are placed by evidence of where they are warm.
+    /// Whether routers use what callers and their own memory tell of where a chat is cached.
     pub sticky: bool,
-    /// How placement decides.
+    /// Settings of the placement.
     pub placement: PlacementSettings,
-    /// Whether a router is replaced in the middle of the run, and what becomes of its memory.
-    pub replaced: Option<Replaced>,
+    /// What happens to the memory of a router that is replaced halfway through the run; `None` if
+    /// none is replaced.
+    pub replacement_mode: Option<ReplacementMode>,
 }
 
 impl Default for Scenario {
@@ -125,9 +128,9 @@
             report_lag_ms: 1_000,
             joins_per_min: 0.0,
             fails_per_min: 0.0,
-            splits_per_min: 0.0,
+            partitions_per_min: 0.0,
             surge_multiple: 1.0,
-            urgent_part: 0.1,
+            urgent_fraction: 0.1,
             caller_value_chance: 0.9,
             heartbeat_ms: 1_000,
             peer_delay_us: 500,
@@ -136,13 +139,13 @@
             cache_tokens: 300_000,
             sticky: true,
             placement: PlacementSettings::default(),
-            replaced: None,
+            replacement_mode: None,
         }
     }
 }
 
 impl Scenario {
-    /// The scenario of this name with its own sizes.
+    /// Returns the predefined scenario of this name.
     pub fn named(name: ScenarioName) -> Self {
         let base = Self {
             name,
@@ -162,7 +165,7 @@
             ScenarioName::Disagree => Self {
                 joins_per_min: 2.0,
                 fails_per_min: 1.0,
-                splits_per_min: 6.0,
+                partitions_per_min: 6.0,
                 ..base
             },
             ScenarioName::Teranga => Self {
@@ -176,7 +179,7 @@
             ScenarioName::Monterrey => Self {
                 joins_per_min: 1.0,
                 fails_per_min: 1.0,
-                urgent_part: 0.3,
+                urgent_fraction: 0.3,
                 turns: 6.0,
                 ..base
             },
@@ -194,15 +197,17 @@
         }
     }
 
-    /// An error for sizes that cannot be run.
+    /// Returns an error if the scenario cannot be run.
     pub(crate) fn check(&self) -> Result<(), String> {
         let sizes = [self.routers, self.servers, self.workspaces, self.chats];
         if sizes.contains(&0) {
-            return Err(String::from("a size is 0; hint: at least 1 of each"));
+            return Err(String::from(
+                "--routers, --servers, --workspaces and --chats must be above 0",
+            ));
         }
         if self.routers > MAX_ROUTERS || self.servers > MAX_SERVERS {
             return Err(format!(
-                "a cell has at most {MAX_ROUTERS} routers and {MAX_SERVERS} servers; hint: run cell by cell"
+                "a cell has at most {MAX_ROUTERS} routers and {MAX_SERVERS} servers; hint: run each cell alone"
             ));
         }
         let rates = [self.rate_per_s, self.minutes];
@@ -219,7 +224,9 @@
             .iter()
             .any(|rate| !(0.0..=MAX_FAULTS_PER_MIN).contains(rate))
         {
-            return Err(format!("faults must be 0 to {MAX_FAULTS_PER_MIN} a minute"));
+            return Err(format!(
+                "--joins-per-min and --fails-per-min must be 0 to {MAX_FAULTS_PER_MIN}"
+            ));
         }
         if !(0.0..=1.0).contains(&self.caller_value_chance) {
             return Err(String::from("--caller-value-chance must be 0 to 1"));
@@ -240,7 +247,7 @@
         self.rate_per_s * self.minutes * 60.0
     }
 
-    /// When the load ends.
+    /// Returns the time from the first requests to the end of the load.
     pub(crate) fn end_us(&self) -> u64 {
         (self.minutes * 60e6) as u64
     }
--- a/crates/sapphiretrack-bench/src/policy/world/mod.rs
+++ b/crates/sapphiretrack-bench/src/policy/simulation/mod.rs
@@ -1,13 +1,14 @@
-//! The run itself: events in the order of time, and the truth that routers see late.
+//! The discrete-event simulation: the event queue, the exact state of the servers, and the routers,
+//! whose views of it are delayed.
 
-mod asking;
 mod event;
 mod faults;
+mod ground_truth;
 mod ordering;
 mod pending;
+mod reporting;
 mod serving;
-mod telling;
-mod truth;
+mod slot_requests;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -19,8 +20,8 @@
 };
 
 use crate::policy::engine::Engine;
-use crate::policy::measures::{Gathered, Measures, ratio};
-use crate::policy::messages::Meter;
+use crate::policy::measures::{Measures, Samples, ratio};
+use crate::policy::messages::ControlTraffic;
 use crate::policy::policies::Policy;
 use crate::policy::replace::Replacement;
 use crate::policy::router::{Router, server_view};
@@ -30,51 +31,58 @@
 pub(crate) use event::Event;
 use pending::Pending;
 
-/// Requests begin after routers have found each other.
+/// Start of the load, after the routers have received heartbeats from each other.
 const START_US: u64 = 6_000_000;
-const TICK_US: u64 = 50_000;
-/// How long an attempt takes to meet a closed port.
-const CONNECT_US: u64 = 1_000;
-/// The part of the bound that requests which are not urgent may fill.
-const NORMAL_SHARE: f64 = 0.9;
+/// Interval between two updates of all routers' consents to stewards.
+const STEWARDSHIP_INTERVAL_US: u64 = 50_000;
+/// Time until an attempt learns that its server is down.
+const CONNECTION_REFUSED_US: u64 = 1_000;
+/// Share of the load bound that requests which are not urgent may use.
+const NON_URGENT_SHARE: f64 = 0.9;
+/// Deadline for the first token of urgent requests.
 const URGENT_DEADLINE_MS: f64 = 2_000.0;
-const NORMAL_DEADLINE_MS: f64 = 15_000.0;
-/// Servers that may join beyond the first ones.
+/// Deadline for the first token of all other requests.
+const NON_URGENT_DEADLINE_MS: f64 = 15_000.0;
+/// Servers that are down at first and may join later.
 const SPARE_SERVERS: usize = 4;
-/// How long a server that joined counts for the bound before it takes requests.
-const JOIN_SETTLE_US: u64 = JOIN_SETTLE_MS * 1_000;
+/// Time for which a server that joined counts for the load bound before it receives requests.
+const JOIN_DELAY_US: u64 = JOIN_SETTLE_MS * 1_000;
 
-/// A run of one policy.
-pub(crate) struct World<'a> {
+/// The simulation of one policy.
+pub(crate) struct Simulation<'a> {
     scenario: &'a Scenario,
     policy: Policy,
     trace: &'a Trace,
-    ids: Vec<ServerId>,
+    server_ids: Vec<ServerId>,
     engines: Vec<Engine>,
     routers: Vec<Router>,
-    turns_taken: Vec<usize>,
-    cut: Vec<Vec<u32>>,
+    /// Requests routed by each router, for the round-robin policy.
+    routed_requests: Vec<usize>,
+    /// For each pair of routers, the number of partitions that separate them now.
+    partitions: Vec<Vec<u32>>,
     pending: Vec<Pending>,
-    values: HashMap<u64, WarmHint>,
+    /// For each chat, the value that its caller may send back: where it was last answered.
+    caller_values: HashMap<u64, WarmHint>,
     oracle_shares: WorkspaceShares,
     oracle_view: PoolView,
+    /// Time, sequence number and index into `event_slots` of each scheduled event.
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    bodies: Vec<Option<Event>>,
-    free_bodies: Vec<usize>,
+    event_slots: Vec<Option<Event>>,
+    free_event_slots: Vec<usize>,
     next_event: u64,
     now_us: u64,
-    faults: ChaCha8Rng,
+    fault_random: ChaCha8Rng,
     random: ChaCha8Rng,
-    meter: Meter,
-    gathered: Gathered,
+    control_traffic: ControlTraffic,
+    samples: Samples,
     measures: Measures,
     replacement: Replacement,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     pub(crate) fn new(scenario: &'a Scenario, policy: Policy, seed: u64, trace: &'a Trace) -> Self {
         let servers = scenario.servers + SPARE_SERVERS;
-        let ids: Vec<ServerId> = (0..servers)
+        let server_ids: Vec<ServerId> = (0..servers)
             .map(|index| ServerId::from_name(&format!("server-{index}")))
             .collect();
         let router_ids: Vec<RouterId> = (0..scenario.routers)
@@ -85,7 +93,7 @@
                 Router::new(
                     index,
                     &router_ids,
-                    &ids,
+                    &server_ids,
                     scenario.servers,
                     scenario.placement,
                 )
@@ -100,26 +108,26 @@
             trace,
             engines,
             routers,
-            turns_taken: vec![0; scenario.routers],
-            cut: vec![vec![0; scenario.routers]; scenario.routers],
+            routed_requests: vec![0; scenario.routers],
+            partitions: vec![vec![0; scenario.routers]; scenario.routers],
             pending: vec![Pending::new(); trace.turns.len()],
-            values: HashMap::new(),
+            caller_values: HashMap::new(),
             oracle_shares: WorkspaceShares::default(),
             oracle_view: PoolView {
                 name: String::from("model"),
                 kind: PoolKind::Engine,
-                servers: ids.iter().map(|id| server_view(*id)).collect(),
+                servers: server_ids.iter().map(|id| server_view(*id)).collect(),
             },
-            ids,
+            server_ids,
             events: BinaryHeap::new(),
-            bodies: Vec::new(),
-            free_bodies: Vec::new(),
+            event_slots: Vec::new(),
+            free_event_slots: Vec::new(),
             next_event: 0,
             now_us: 0,
-            faults: ChaCha8Rng::seed_from_u64(seed ^ 0xfa17),
+            fault_random: ChaCha8Rng::seed_from_u64(seed ^ 0xfa17),
             random: ChaCha8Rng::seed_from_u64(seed ^ 0xdec1),
-            meter: Meter::new(),
-            gathered: Gathered::default(),
+            control_traffic: ControlTraffic::new(),
+            samples: Samples::default(),
             measures: Measures {
                 policy: policy.name(),
                 scenario: scenario.name.name(),
@@ -131,26 +139,29 @@
         }
     }
 
-    /// Runs to the end of the last request.
+    /// Runs until no event is left; periodic events end with the load.
     pub(crate) fn run(mut self) -> Measures {
         self.schedule_all();
         let end_us = START_US + self.scenario.end_us();
-        while let Some(Reverse((at_us, _, body))) = self.events.pop() {
-            let Some(event) = self.bodies[body].take() else {
+        while let Some(Reverse((at_us, _, slot))) = self.events.pop() {
+            let Some(event) = self.event_slots[slot].take() else {
                 continue;
             };
-            self.free_bodies.push(body);
+            self.free_event_slots.push(slot);
             self.now_us = at_us;
             let repeats = matches!(
                 event,
-                Event::Tick | Event::Sample | Event::Report | Event::Heartbeat { .. }
+                Event::UpdateStewardship
+                    | Event::SampleSkew
+                    | Event::PublishReports
+                    | Event::Heartbeat { .. }
             );
             if repeats && at_us > end_us {
                 continue;
             }
             self.handle(event);
         }
-        self.gathered.control_bytes = self.meter.bytes();
+        self.samples.control_bytes = self.control_traffic.bytes();
         let replacement = &self.replacement;
         self.measures.returns = replacement.returns;
         self.measures.return_warm_fraction = ratio(
@@ -158,8 +169,8 @@
             replacement.prompt_tokens as f64,
         );
         let seconds = end_us as f64 / 1e6;
-        self.gathered
-            .fill(&mut self.measures, self.scenario.routers, seconds);
+        self.samples
+            .fill_measures(&mut self.measures, self.scenario.routers, seconds);
         self.measures
     }
 
@@ -174,7 +185,7 @@
             self.schedule(START_US + at_us, event);
         }
         if self.policy == Policy::Sapphiretrack {
-            self.schedule(0, Event::Tick);
+            self.schedule(0, Event::UpdateStewardship);
         }
         if self.policy.exchanges_heartbeats() {
             for router in 0..self.scenario.routers {
@@ -183,22 +194,22 @@
                 self.schedule(offset_us, Event::Heartbeat { router });
             }
         }
-        self.schedule(0, Event::Report);
-        self.schedule(0, Event::Sample);
+        self.schedule(0, Event::PublishReports);
+        self.schedule(0, Event::SampleSkew);
     }
 
     fn schedule(&mut self, at_us: u64, event: Event) {
-        let body = match self.free_bodies.pop() {
+        let slot = match self.free_event_slots.pop() {
             Some(free) => {
-                self.bodies[free] = Some(event);
+                self.event_slots[free] = Some(event);
                 free
             }
             None => {
-                self.bodies.push(Some(event));
-                self.bodies.len() - 1
+                self.event_slots.push(Some(event));
+                self.event_slots.len() - 1
             }
         };
-        self.events.push(Reverse((at_us, self.next_event, body)));
+        self.events.push(Reverse((at_us, self.next_event, slot)));
         self.next_event += 1;
     }
 
@@ -206,12 +217,12 @@
         match event {
             Event::Arrive(request) => self.arrive(request),
             Event::Retry(request) => self.try_next(request),
-            Event::Ask {
+            Event::RequestSlot {
                 request,
                 router,
-                ask,
-                wanted,
-            } => self.ask(request, router, &ask, wanted),
+                reserve_request,
+                attempt,
+            } => self.request_slot(request, router, &reserve_request, attempt),
             Event::Finish {
                 server,
                 incarnation,
@@ -234,49 +245,52 @@
                 heartbeat,
             } => {
                 let now_ms = self.now_ms();
-                for server in self.routers[to].take_heartbeat(from, &heartbeat, now_ms) {
-                    let at_us = self.now_us + JOIN_SETTLE_US;
-                    self.schedule(at_us, Event::Settle { router: to, server });
+                for server in self.routers[to].apply_heartbeat(from, &heartbeat, now_ms) {
+                    let at_us = self.now_us + JOIN_DELAY_US;
+                    self.schedule(at_us, Event::FinishJoin { router: to, server });
                 }
             }
-            Event::Tick => {
+            Event::UpdateStewardship => {
                 let now_ms = self.now_ms();
                 self.routers
                     .iter_mut()
-                    .for_each(|router| router.tick(now_ms));
-                self.schedule(self.now_us + TICK_US, Event::Tick);
+                    .for_each(|router| router.update_stewardship(now_ms));
+                self.schedule(
+                    self.now_us + STEWARDSHIP_INTERVAL_US,
+                    Event::UpdateStewardship,
+                );
             }
-            Event::Sample => self.sample(),
-            Event::Report => self.report(),
-            Event::Change(change) => self.change(change),
-            Event::Fail(server) => self.fail(server),
+            Event::SampleSkew => self.sample_skew(),
+            Event::PublishReports => self.publish_reports(),
+            Event::Change(change) => self.apply_change(change),
+            Event::Fail(server) => self.fail_server(server),
             Event::Restart(server) => {
                 self.engines[server].restart(self.now_us);
-                self.spread(server, VmState::Live);
+                self.announce_state(server, VmState::Live);
             }
-            Event::Heal { first, second } => {
-                self.cut[first][second] -= 1;
-                self.cut[second][first] -= 1;
+            Event::HealPartition { first, second } => {
+                self.partitions[first][second] -= 1;
+                self.partitions[second][first] -= 1;
             }
-            Event::Learn {
+            Event::ApplyState {
                 router,
                 server,
                 state,
                 version,
             } => {
-                if self.routers[router].learn(server, state, version) {
-                    let at_us = self.now_us + JOIN_SETTLE_US;
-                    self.schedule(at_us, Event::Settle { router, server });
+                if self.routers[router].apply_state(server, state, version) {
+                    let at_us = self.now_us + JOIN_DELAY_US;
+                    self.schedule(at_us, Event::FinishJoin { router, server });
                 }
             }
-            Event::Settle { router, server } => self.routers[router].settle(server),
+            Event::FinishJoin { router, server } => self.routers[router].finish_join(server),
             Event::TakeSnapshot => {
                 let now_ms = self.now_ms();
                 self.replacement.take_snapshot(&self.routers, now_ms);
             }
-            Event::Replace(how) => {
+            Event::Replace(mode) => {
                 let now_ms = self.now_ms();
-                self.replacement.replace(how, &mut self.routers, now_ms);
+                self.replacement.replace(mode, &mut self.routers, now_ms);
             }
         }
     }
@@ -289,46 +303,47 @@
         &self.trace.turns[request as usize]
     }
 
-    fn share(&self, request: u32) -> f64 {
+    fn bound_share(&self, request: u32) -> f64 {
         if self.turn(request).is_urgent {
             1.0
         } else {
-            NORMAL_SHARE
+            NON_URGENT_SHARE
         }
     }
 
     fn arrive(&mut self, request: u32) {
-        let had_room = self.has_room(request);
-        let order = self.order(request);
+        let had_capacity = self.has_capacity(request);
+        let attempts = self.attempts_for(request);
         let pending = &mut self.pending[request as usize];
-        pending.order = order;
-        pending.next = 0;
-        pending.full.clear();
-        pending.asks_again = false;
-        pending.had_room = had_room;
+        pending.attempts = attempts;
+        pending.next_attempt = 0;
+        pending.full_refusals.clear();
+        pending.is_second_round = false;
+        pending.had_capacity = had_capacity;
         self.try_next(request);
     }
 }
 
-/// How long after its arrival a request's first token is late.
+/// Returns the deadline for the first token, in milliseconds after the arrival.
 fn deadline_ms(is_urgent: bool) -> f64 {
     match is_urgent {
         true => URGENT_DEADLINE_MS,
-        false => NORMAL_DEADLINE_MS,
+        false => NON_URGENT_DEADLINE_MS,
     }
 }
 
-/// When a snapshot is taken and when the router goes, for a load that lasts so long.
+/// Returns the replacement of the router, halfway through the load, and the snapshot before it,
+/// with their times since the start of the load.
 fn replacement_events(scenario: &Scenario) -> Vec<(u64, Event)> {
-    let Some(replaced) = scenario.replaced else {
+    let Some(mode) = scenario.replacement_mode else {
         return Vec::new();
     };
     let at_us = scenario.end_us() / 2;
-    let snapshot = replaced.snapshot_age_ms().map(|age_ms| {
+    let snapshot = mode.snapshot_age_ms().map(|age_ms| {
         let taken_us = at_us.saturating_sub(age_ms * 1_000);
         (taken_us, Event::TakeSnapshot)
     });
-    let mut events = vec![(at_us, Event::Replace(replaced))];
+    let mut events = vec![(at_us, Event::Replace(mode))];
     events.extend(snapshot);
     events
 }
--- a/crates/sapphiretrack-bench/src/policy/world/pending.rs
+++ b/crates/sapphiretrack-bench/src/policy/simulation/pending.rs
@@ -1,17 +1,17 @@
-//! A request on its way.
+//! The state of a request during the simulation.
 
 use sapphiretrack_core::{FullServer, ReservationId};
 
-use crate::policy::router::Try;
+use crate::policy::router::Attempt;
 
-/// A request on its way.
+/// The state of a request from its arrival to its end.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pending {
-    pub(super) order: Vec<Try>,
-    pub(super) next: usize,
-    /// Servers whose stewards refused for want of room, until they are asked again.
-    pub(super) full: Vec<(Try, FullServer)>,
-    pub(super) asks_again: bool,
+    pub(super) attempts: Vec<Attempt>,
+    pub(super) next_attempt: usize,
+    /// Attempts that were refused because the server is full, until the second round.
+    pub(super) full_refusals: Vec<(Attempt, FullServer)>,
+    pub(super) is_second_round: bool,
     pub(super) reservation: Option<ReservationId>,
     pub(super) steward: Option<usize>,
     pub(super) placed_on: usize,
@@ -19,10 +19,10 @@
     pub(super) cached_tokens: u32,
     pub(super) first_token_us: u64,
     pub(super) retries: u32,
-    /// When its server failed after the first token had gone out.
-    pub(super) resumed_us: Option<u64>,
+    /// When its server failed after the first token had been sent.
+    pub(super) interrupted_us: Option<u64>,
     pub(super) waited_ms: u64,
-    pub(super) had_room: bool,
+    pub(super) had_capacity: bool,
 }
 
 impl Pending {
--- a/crates/sapphiretrack-bench/src/policy/world/serving.rs
+++ b/crates/sapphiretrack-bench/src/policy/simulation/serving.rs
@@ -1,31 +1,33 @@
-//! A request on its server, from its entry to its end.
+//! Requests on their servers, from the submission to the end.
 
 use sapphiretrack_core::WarmHint;
 use sapphiretrack_peer::PeerRequest;
 
-use crate::policy::engine::{Started, Work};
+use crate::policy::engine::{EngineRequest, StartedRequest};
 
 use super::event::Event;
-use super::{CONNECT_US, START_US, World, deadline_ms};
+use super::{CONNECTION_REFUSED_US, START_US, Simulation, deadline_ms};
 
-/// The whole of the bound.
-const WHOLE_SHARE: f64 = 1.0;
+/// The whole load bound; breaches are counted against it whatever the urgency of a request.
+const FULL_SHARE: f64 = 1.0;
 
-impl World<'_> {
-    /// The request reaches the server, if it is up.
-    pub(super) fn enter(&mut self, request: u32, server: usize) {
+impl Simulation<'_> {
+    /// Submits a request to a server; if the server is down, the request tries the next one.
+    pub(super) fn submit(&mut self, request: u32, server: usize) {
         let turn = self.turn(request);
         self.pending[request as usize].placed_on = server;
-        self.routers[turn.router].note_sent(server);
+        self.routers[turn.router].record_sent(server);
         if !self.engines[server].is_up {
-            self.give_back(request);
-            self.routers[turn.router].note_closed(server);
-            return self.try_later(request, CONNECT_US);
+            self.release_slot(request);
+            self.routers[turn.router].mark_unreachable(server);
+            return self.retry_later(request, CONNECTION_REFUSED_US);
         }
-        let limit = self.true_limit(WHOLE_SHARE);
+        let limit = self.true_limit(FULL_SHARE);
         let source = self.pending[request as usize].import_from;
-        let import_tokens = source.map_or(0, |source| self.engines[source].exports(turn.chat));
-        let work = Work {
+        let import_tokens = source.map_or(0, |source| {
+            self.engines[source].exportable_tokens(turn.chat)
+        });
+        let engine_request = EngineRequest {
             request,
             chat: turn.chat,
             workspace: turn.workspace,
@@ -35,24 +37,24 @@
             priority: u8::from(!turn.is_urgent),
             import_tokens,
         };
-        let started = self.engines[server].enter(work, self.now_us);
+        let started = self.engines[server].submit(engine_request, self.now_us);
         self.measures.bound_breaches += u64::from(self.engines[server].in_flight() > limit);
-        self.note_started(server, started);
+        self.record_started(server, started);
     }
 
-    pub(super) fn note_started(&mut self, server: usize, started: Option<Started>) {
+    pub(super) fn record_started(&mut self, server: usize, started: Option<StartedRequest>) {
         let Some(started) = started else { return };
         let pending = &mut self.pending[started.request as usize];
         pending.cached_tokens = started.cached_tokens;
         pending.first_token_us = pending.first_token_us.min(started.first_token_us);
-        self.gathered.imported_tokens += u64::from(started.imported_tokens);
+        self.samples.imported_tokens += u64::from(started.imported_tokens);
         let incarnation = self.engines[server].incarnation;
         let turn = self.turn(started.request);
         let prompt_tokens = turn.prompt_tokens;
         self.replacement
-            .note_start(turn.chat, prompt_tokens, started.cached_tokens);
-        self.gathered
-            .note_start(self.now_us, prompt_tokens, started.cached_tokens);
+            .record_start(turn.chat, prompt_tokens, started.cached_tokens);
+        self.samples
+            .record_start(self.now_us, prompt_tokens, started.cached_tokens);
         let request = started.request;
         self.schedule(
             started.done_us,
@@ -69,51 +71,51 @@
             return;
         }
         let started = self.engines[server].finish(request, self.now_us);
-        self.note_started(server, started);
-        self.give_back(request);
-        self.note_answer(request, server);
+        self.record_started(server, started);
+        self.release_slot(request);
+        self.record_answer(request, server);
         if self.engines[server].is_leaving && self.engines[server].in_flight() == 0 {
             self.engines[server].is_up = false;
         }
     }
 
-    pub(super) fn note_answer(&mut self, request: u32, server: usize) {
+    pub(super) fn record_answer(&mut self, request: u32, server: usize) {
         let turn = self.turn(request);
         let pending = &self.pending[request as usize];
         let waited_us = pending.first_token_us - (START_US + turn.at_us);
         let first_token_ms = waited_us as f64 / 1_000.0;
-        self.gathered.first_token_ms.push(first_token_ms);
+        self.samples.first_token_ms.push(first_token_ms);
         let deadline_ms = deadline_ms(turn.is_urgent);
         if first_token_ms > deadline_ms {
             self.measures.late += 1;
-            let failed = turn.is_urgent && pending.had_room;
+            let failed = turn.is_urgent && pending.had_capacity;
             self.measures.urgent_failed_with_room += u64::from(failed);
         }
         let hint = WarmHint {
-            server: self.ids[server],
+            server: self.server_ids[server],
             incarnation: self.engines[server].incarnation,
             tokens: turn.prompt_tokens + turn.answer_tokens,
             age_ms: 0,
         };
         let now_ms = self.now_ms();
-        self.values.insert(turn.chat, hint);
-        self.replacement.note_answer(turn.chat, turn.router);
+        self.caller_values.insert(turn.chat, hint);
+        self.replacement.record_answer(turn.chat, turn.router);
         if self.scenario.sticky {
             self.routers[turn.router].remember(turn.chat, hint, now_ms);
         }
     }
 
-    /// Gives the slot of a request back.
-    pub(super) fn give_back(&mut self, request: u32) {
+    /// Ends a request on its server and releases its slot, if it holds one.
+    pub(super) fn release_slot(&mut self, request: u32) {
         let turn = self.turn(request);
         let pending = &mut self.pending[request as usize];
         let server = pending.placed_on;
         let router = &mut self.routers[turn.router];
-        router.note_ended(server);
+        router.record_ended(server);
         let Some(reservation) = pending.reservation.take() else {
             return;
         };
-        router.end(reservation);
+        router.end_reservation(reservation);
         let Some(steward) = pending.steward else {
             return;
         };
@@ -125,13 +127,13 @@
         }
         let release = PeerRequest::Release {
             router: id,
-            server: self.ids[server],
+            server: self.server_ids[server],
             reservation,
             in_flight: in_flight as u16,
         };
-        self.meter.count(&release);
-        self.meter.count_reply_to_release();
-        if self.cut[turn.router][steward] == 0 {
+        self.control_traffic.count_request(&release);
+        self.control_traffic.count_reply_to_release();
+        if self.partitions[turn.router][steward] == 0 {
             let at_us = self.now_us + self.scenario.peer_delay_us;
             self.schedule(
                 at_us,
--- a/crates/sapphiretrack-bench/src/policy/trace.rs
+++ b/crates/sapphiretrack-bench/src/policy/trace.rs
@@ -1,4 +1,4 @@
-//! The requests and faults of a run, drawn once so that all policies meet the same.
+//! The requests and faults of a run, generated in advance so that all policies get the same ones.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,22 +6,23 @@
 
 use super::scenario::Scenario;
 
-/// Tokens that all chats of a workspace begin with.
+/// Length of the prompt prefix that all chats of a workspace share.
 const PREFIX_TOKENS: u32 = 600;
-/// Mean tokens that a caller adds with each request.
+/// Mean number of tokens that a caller adds with each request.
 const QUESTION_TOKENS: f64 = 120.0;
-/// Mean tokens of an answer.
+/// Mean number of tokens of an answer.
 const ANSWER_TOKENS: f64 = 140.0;
-/// How long a caller keeps the address of an entry router.
+/// Time for which a caller keeps using the address of an entry router.
 const ADDRESS_TTL_US: u64 = 30_000_000;
-/// Part of the requests that the largest workspaces send together.
-const LARGE_PART: f64 = 0.6;
-/// How many workspaces are large.
+/// Fraction of the chats that are assigned to large workspaces only; the others are spread over all
+/// workspaces.
+const LARGE_WORKSPACES_FRACTION: f64 = 0.6;
+/// Number of large workspaces.
 const LARGE_WORKSPACES: usize = 3;
-/// How many surge.
+/// Number of large workspaces that send more requests during the surge.
 const SURGING_WORKSPACES: usize = 2;
 
-/// One request of a chat.
+/// One request of a chat and the router that receives it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Turn {
     pub(crate) at_us: u64,
@@ -35,33 +36,33 @@
     pub(crate) router: usize,
 }
 
-/// One change of the VMs.
+/// A change of the servers or of the connections between routers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Change {
-    /// A spare server joins.
+    /// A server that is down starts and joins.
     Join,
-    /// A server begins to leave; it is gone when its requests have ended.
+    /// A server begins to leave; it stops when its requests have ended.
     Leave,
     /// A server fails.
     Fail,
-    /// A server fails, and again soon after.
+    /// A server fails, restarts and fails again 12 s after the first failure.
     Flap,
-    /// Two routers stop hearing each other, or one stops hearing all others.
-    Split {
+    /// Two routers cannot reach each other; if both are the same, it cannot reach any other router.
+    Partition {
         first: usize,
         second: usize,
-        for_us: u64,
+        duration_us: u64,
     },
 }
 
-/// The requests and changes, each by time.
+/// The requests and changes of a run, each sorted by time.
 #[derive(Clone, Debug)]
 pub(crate) struct Trace {
     pub(crate) turns: Vec<Turn>,
     pub(crate) changes: Vec<(u64, Change)>,
 }
 
-/// A chat that goes on.
+/// The state of a chat while its requests are generated.
 struct Chat {
     key: u64,
     workspace: usize,
@@ -97,13 +98,13 @@
                 false => Change::Fail,
             },
         );
-        let splits = scenario.splits_per_min;
+        let partitions = scenario.partitions_per_min;
         let routers = scenario.routers;
-        draw_changes(scenario, &mut random, splits, &mut changes, |random| {
-            Change::Split {
+        draw_changes(scenario, &mut random, partitions, &mut changes, |random| {
+            Change::Partition {
                 first: random.random_range(0..routers),
                 second: random.random_range(0..routers),
-                for_us: random.random_range(1_000_000..9_000_000),
+                duration_us: random.random_range(1_000_000..9_000_000),
             }
         });
         changes.sort_by_key(|(at_us, _)| *at_us);
@@ -112,7 +113,7 @@
 }
 
 fn draw_turns(scenario: &Scenario, random: &mut ChaCha8Rng) -> Vec<Turn> {
-    // Each chat sends with the pause that makes all of them together send at the wanted rate.
+    // The mean pause at which all chats together send `rate_per_s` requests per second.
     let cycle_s = scenario.chats as f64 / scenario.rate_per_s;
     let surge = (scenario.end_us() / 3)..(scenario.end_us() * 2 / 3);
     let mut turns = Vec::new();
@@ -122,10 +123,14 @@
         let mut chat = new_chat(scenario, random, &mut next_key, first_us);
         while chat.next_us < scenario.end_us() {
             turns.push(draw_turn(scenario, random, &mut chat));
-            let surges = chat.workspace < SURGING_WORKSPACES && surge.contains(&chat.next_us);
-            let faster = if surges { scenario.surge_multiple } else { 1.0 };
+            let is_surging = chat.workspace < SURGING_WORKSPACES && surge.contains(&chat.next_us);
+            let rate_multiple = if is_surging {
+                scenario.surge_multiple
+            } else {
+                1.0
+            };
             let pause_s =
-                MIN_PAUSE_S + exponential(random, (cycle_s / faster - MIN_PAUSE_S).max(0.5));
+                MIN_PAUSE_S + exponential(random, (cycle_s / rate_multiple - MIN_PAUSE_S).max(0.5));
             chat.next_us += (pause_s * 1e6) as u64;
             if random.random_bool(1.0 / scenario.turns.max(1.0)) {
                 chat = new_chat(scenario, random, &mut next_key, chat.next_us);
@@ -135,7 +140,7 @@
     turns
 }
 
-/// The shortest pause between two requests of a chat.
+/// Minimum pause between two requests of a chat.
 const MIN_PAUSE_S: f64 = 6.0;
 
 fn new_chat(
@@ -146,7 +151,7 @@
 ) -> Chat {
     *next_key += 1;
     let large = LARGE_WORKSPACES.min(scenario.workspaces);
-    let workspace = match random.random_bool(LARGE_PART) {
+    let workspace = match random.random_bool(LARGE_WORKSPACES_FRACTION) {
         true => random.random_range(0..large),
         false => random.random_range(0..scenario.workspaces),
     };
@@ -172,7 +177,7 @@
         prefix_tokens: PREFIX_TOKENS,
         prompt_tokens,
         answer_tokens: answer,
-        is_urgent: random.random_bool(scenario.urgent_part),
+        is_urgent: random.random_bool(scenario.urgent_fraction),
         sends_value: random.random_bool(scenario.caller_value_chance),
         router: (router % scenario.routers as u64) as usize,
     }
--- a/crates/sapphiretrack-bench/tests/policy.rs
+++ b/crates/sapphiretrack-bench/tests/policy.rs
@@ -1,6 +1,7 @@
-//! The policy runs: the same seed gives the same figures, and what the project promises holds.
+//! Policy simulation: results are reproducible, and sapphiretrack's placement keeps the load bound,
+//! reuses caches and balances the load.
 
-use sapphiretrack_bench::policy::{Policy, Replaced, Scenario, ScenarioName, measure};
+use sapphiretrack_bench::policy::{Policy, ReplacementMode, Scenario, ScenarioName, measure};
 
 fn short(name: ScenarioName) -> Scenario {
     Scenario {
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures() {
+fn the_same_seed_gives_the_same_results() {
     for policy in Policy::ALL {
         let scenario = short(ScenarioName::Churn);
         let first = measure(&scenario, policy, 7);
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn no_placement_passes_the_bound_while_nothing_fails() {
+fn no_placement_exceeds_the_bound_without_faults() {
     for name in [ScenarioName::Steady, ScenarioName::Surge] {
         for seed in 1..=3 {
             let measures = measure(&short(name), Policy::Sapphiretrack, seed);
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn policies_without_a_shared_count_pass_the_bound() {
+fn policies_without_a_shared_count_exceed_the_bound() {
     for policy in [
         Policy::Random,
         Policy::Rendezvous,
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn sapphiretrack_is_warmer_than_load_alone_and_flatter_than_hashing_alone() {
+fn sapphiretrack_reuses_more_than_least_loaded_and_balances_better_than_rendezvous() {
     let scenario = short(ScenarioName::Churn);
     let ours = measure(&scenario, Policy::Sapphiretrack, 1);
     let least_loaded = measure(&scenario, Policy::LeastLoaded, 1);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn urgent_requests_find_the_room_that_there_is() {
+fn urgent_requests_rarely_fail_while_a_server_has_capacity() {
     for (name, seed) in [
         (ScenarioName::Churn, 9),
         (ScenarioName::Monterrey, 2),
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn the_bound_holds_while_routers_that_hold_slots_are_cut_off() {
+fn the_bound_holds_while_routers_that_hold_slots_are_partitioned() {
     for seed in [62, 80] {
         let scenario = Scenario::named(ScenarioName::Disagree);
         let measures = measure(&scenario, Policy::Sapphiretrack, seed);
@@ -79,12 +80,12 @@
 }
 
 #[test]
-fn a_hand_over_and_a_snapshot_keep_reuse_that_a_lost_memory_loses() {
-    let returns_warm = |replaced| {
+fn a_handover_or_a_snapshot_keeps_more_reuse_than_a_lost_memory() {
+    let returns_warm = |mode| {
         let seeds = 1..=5;
         let warm = seeds.map(|seed| {
             let scenario = Scenario {
-                replaced: Some(replaced),
+                replacement_mode: Some(mode),
                 caller_value_chance: 0.0,
                 ..short(ScenarioName::Steady)
             };
@@ -92,8 +93,11 @@
         });
         warm.sum::<f64>() / 5.0
     };
-    let lost = returns_warm(Replaced::Lost);
-    for kept in [Replaced::HandedToAll, Replaced::Snapshot { age_ms: 15_000 }] {
+    let lost = returns_warm(ReplacementMode::Lost);
+    for kept in [
+        ReplacementMode::HandedToAll,
+        ReplacementMode::Snapshot { age_ms: 15_000 },
+    ] {
         assert!(returns_warm(kept) > lost + 0.02, "{kept:?}");
     }
 }
