--- a/crates/sapphiretrack-fakes/src/engine/mod.rs
+++ b/crates/sapphiretrack-fakes/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in model engine: batching slots, a queue by priority, a bounded prefix cache.
+//! Fake model engine with batch slots, a priority queue and a bounded prefix cache.
 
 mod generation;
 mod request;
@@ -23,11 +23,13 @@
 use request::read_chat;
 use state::Shared;
 
-use crate::http_server::{FakeFuture, FakeResponse, RunCount, json, read_json, serve, with_status};
+use crate::http_server::{
+    FakeFuture, FakeResponse, RunCount, json_response, read_json, serve, status_response,
+};
 use crate::kv::ExportedPrefix;
-use crate::orders::{ArrivedOrder, OrderBook, answer_order};
+use crate::orders::{OrderHandler, ReceivedOrder, answer_order};
 
-/// The stand-in engine; clones are the same one.
+/// Handle of a fake engine; clones share its state.
 #[derive(Clone)]
 pub struct FakeEngine {
     address: SocketAddr,
@@ -35,10 +37,10 @@
 }
 
 impl FakeEngine {
-    /// Starts the stand-in.
+    /// Starts the fake.
     pub async fn start(settings: EngineSettings) -> std::io::Result<Self> {
         let address = settings.address;
-        let orders = OrderBook::new(
+        let orders = OrderHandler::new(
             settings.fencing_check,
             settings.incarnation,
             settings.load_ms,
@@ -53,40 +55,41 @@
         let handler = engine.clone();
         engine.address = serve(address, move |request| {
             let engine = handler.clone();
-            Box::pin(async move { engine.answer(request).await }) as FakeFuture
+            Box::pin(async move { engine.handle(request).await }) as FakeFuture
         })
         .await?;
         Ok(engine)
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.lock().faults = faults;
     }
 
-    /// Requests that were started.
+    /// Number of accepted requests, queued ones included.
     pub fn started_requests(&self) -> u64 {
         self.shared.lock().started_requests
     }
 
-    /// The hashes of the messages of the requests that were started, in hex.
+    /// Hashes of the messages of all accepted requests, as 16 hexadecimal digits.
     pub fn started_chats(&self) -> Vec<String> {
         let state = self.shared.lock();
         let hashes = state.started_chats.iter();
         hashes.map(|hash| format!("{hash:016x}")).collect()
     }
 
-    /// All orders as they arrived.
-    pub fn arrived_orders(&self) -> Vec<ArrivedOrder> {
-        self.shared.lock_orders().arrived().to_vec()
+    /// All orders in the sequence in which they were received, rejected ones included.
+    pub fn received_orders(&self) -> Vec<ReceivedOrder> {
+        self.shared.lock_orders().received().to_vec()
     }
 
-    /// How often each request, by its messages, was started.
+    /// Number of executions of each accepted request, identified by its messages. Counting stops
+    /// at 100 000 different requests.
     pub fn runs(&self) -> Vec<RunCount> {
         let state = self.shared.lock();
         let runs = state.runs.iter();
@@ -97,7 +100,7 @@
         .collect()
     }
 
-    /// The load as it stands.
+    /// Current load.
     pub fn load(&self) -> LoadReport {
         let state = self.shared.lock();
         LoadReport {
@@ -109,73 +112,77 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> FakeResponse {
+    async fn handle(&self, request: Request<Incoming>) -> FakeResponse {
         match request.uri().path() {
             "/fake/faults" => match read_json(request).await {
                 Ok(faults) => {
                     self.set_faults(faults);
-                    json(&())
+                    json_response(&())
                 }
                 Err(response) => response,
             },
-            "/fake/orders" => json(&self.arrived_orders()),
+            "/fake/orders" => json_response(&self.received_orders()),
             "/state" => {
-                self.shared.wait_unfrozen().await;
-                json(&self.shared.lock_orders().state())
+                self.shared.wait_while_frozen().await;
+                json_response(&self.shared.lock_orders().state())
             }
             "/orders" => {
-                self.shared.wait_unfrozen().await;
-                answer_order(request, |order| self.shared.lock_orders().take(order)).await
+                self.shared.wait_while_frozen().await;
+                answer_order(request, |order| self.shared.lock_orders().handle(order)).await
             }
-            "/fake/started-chats" => json(&self.started_chats()),
-            "/fake/runs" => json(&self.runs()),
-            "/fake/started" => json(&self.started_requests()),
+            "/fake/started-chats" => json_response(&self.started_chats()),
+            "/fake/runs" => json_response(&self.runs()),
+            "/fake/started" => json_response(&self.started_requests()),
             "/load" => {
-                self.shared.wait_unfrozen().await;
-                json(&self.load())
+                self.shared.wait_while_frozen().await;
+                json_response(&self.load())
             }
-            "/v1/chat/completions" => match self.chat(request).await {
+            "/v1/chat/completions" => match self.handle_chat(request).await {
                 Ok(response) | Err(response) => response,
             },
             path => match path.strip_prefix(EXPORT_PATH) {
-                Some(chat) => self.export_prefix(chat),
-                None => with_status(StatusCode::NOT_FOUND, "{}"),
+                Some(chat) => self.export_cached_prefix(chat),
+                None => status_response(StatusCode::NOT_FOUND, "{}"),
             },
         }
     }
 
-    fn export_prefix(&self, chat: &str) -> FakeResponse {
+    fn export_cached_prefix(&self, chat: &str) -> FakeResponse {
         match self.shared.lock().cache.get(chat) {
-            Some(tokens) => json(&ExportedPrefix { tokens: *tokens }),
-            None => with_status(StatusCode::NOT_FOUND, "{}"),
+            Some(tokens) => json_response(&ExportedPrefix { tokens: *tokens }),
+            None => status_response(StatusCode::NOT_FOUND, "{}"),
         }
     }
 
-    async fn chat(&self, request: Request<Incoming>) -> Result<FakeResponse, FakeResponse> {
+    async fn handle_chat(&self, request: Request<Incoming>) -> Result<FakeResponse, FakeResponse> {
         let chat = read_chat(request).await?;
-        if !self.shared.take_in(&chat) {
-            let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE, "{}");
-            let yes = http::HeaderValue::from_static("true");
+        if !self.shared.admit(&chat) {
+            let mut response = status_response(StatusCode::SERVICE_UNAVAILABLE, "{}");
+            let header_true = http::HeaderValue::from_static("true");
             if self.shared.lock().faults.refuse_as_leaving {
-                response.headers_mut().insert(LEAVING_HEADER, yes.clone());
+                response
+                    .headers_mut()
+                    .insert(LEAVING_HEADER, header_true.clone());
             }
-            response.headers_mut().insert(NOT_STARTED_HEADER, yes);
+            response
+                .headers_mut()
+                .insert(NOT_STARTED_HEADER, header_true);
             if let Ok(attempt) = http::HeaderValue::from_str(&chat.attempt) {
                 response.headers_mut().insert(ATTEMPT_HEADER, attempt);
             }
             return Err(response);
         }
-        let echoed = self.shared.echoed_attempt(&chat.attempt);
-        let attempt_header = http::HeaderValue::from_str(&echoed)
-            .map_err(|error| with_status(StatusCode::BAD_REQUEST, error.to_string()))?;
+        let reply_attempt = self.shared.reply_attempt(&chat.attempt);
+        let attempt_header = http::HeaderValue::from_str(&reply_attempt)
+            .map_err(|error| status_response(StatusCode::BAD_REQUEST, error.to_string()))?;
         let (frames, receiver) = mpsc::channel(4);
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            // Nobody reads on when the router has cancelled.
-            let gone = frames.clone();
+            // The receiver is dropped when the router cancels the request, which ends generation.
+            let cancelled = frames.clone();
             tokio::select! {
-                () = shared.generate(&chat, &echoed, frames) => {}
-                () = gone.closed() => {}
+                () = shared.generate(&chat, &reply_attempt, frames) => {}
+                () = cancelled.closed() => {}
             }
         });
         let mut response = Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(
@@ -183,8 +190,8 @@
         ))));
         let headers = response.headers_mut();
         headers.insert(ATTEMPT_HEADER, attempt_header);
-        let events = http::HeaderValue::from_static("text/event-stream");
-        headers.insert(http::header::CONTENT_TYPE, events);
+        let content_type = http::HeaderValue::from_static("text/event-stream");
+        headers.insert(http::header::CONTENT_TYPE, content_type);
         Ok(response)
     }
 }
--- a/crates/sapphiretrack-fakes/src/engine/settings.rs
+++ b/crates/sapphiretrack-fakes/src/engine/settings.rs
@@ -1,30 +1,30 @@
-//! How the stand-in engine behaves, and its switches for faults.
+//! Settings and injected faults of the fake engine.
 
 use std::net::SocketAddr;
 
 use sapphiretrack_core::{FencingCheck, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// How the stand-in behaves without faults.
+/// Behaviour of the fake without faults.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Which run of it.
+    /// Incarnation that it reports.
     pub incarnation: Incarnation,
-    /// Requests in a batch.
+    /// Number of requests that run at the same time, as one batch.
     pub batch_slots: u32,
-    /// Requests that may wait; more are refused before they start.
+    /// Length of the queue; requests beyond it are rejected before they are started.
     pub queue_requests: u32,
-    /// Time to compute one uncached prompt token.
+    /// Time in microseconds to compute one uncached prompt token.
     pub prefill_us_per_token: u64,
-    /// Time between two tokens.
+    /// Time in milliseconds to generate one token of an answer.
     pub decode_ms: u64,
-    /// Chats whose prefix the cache holds.
+    /// Number of chats whose prefixes the cache holds.
     pub cached_chats: usize,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an old fencing number.
     pub fencing_check: FencingCheck,
-    /// How long weights take to load.
+    /// Time in milliseconds to load weights.
     pub load_ms: u64,
 }
 
@@ -44,28 +44,28 @@
     }
 }
 
-/// The faults of an engine.
+/// Injected faults of an engine.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// So many of the next streams are cut.
+    /// Number of next streams whose connections are closed before their end.
     pub cut_streams: u32,
-    /// After how many tokens they are cut.
+    /// Number of tokens that a stream sends before an injected fault.
     pub cut_after_tokens: u32,
-    /// So many of the next streams carry another attempt's id.
+    /// Number of next streams that carry the id of another attempt.
     pub crossed: u32,
-    /// So many of the next requests are refused before they start.
+    /// Number of next requests that are rejected before they are started.
     pub refuse: u32,
-    /// Streams and reports wait until this is taken back.
+    /// Streams, reports and orders wait until this is cleared.
     pub frozen: bool,
-    /// The engine says that it is leaving.
+    /// The engine reports that it is about to stop.
     pub leaving: bool,
-    /// The engine refuses new requests because it is leaving, without its reports saying so.
+    /// The engine rejects new requests because it is about to stop, but does not report so.
     pub refuse_as_leaving: bool,
-    /// So many of the next streams carry a piece of another attempt in their middle.
+    /// Number of next streams that contain one chunk of another attempt.
     pub crossed_pieces: u32,
-    /// So many of the next streams stand still in their middle, and go on late.
+    /// Number of next streams that pause once and then go on.
     pub stalled_streams: u32,
-    /// How long they stand still.
+    /// Length of such a pause in milliseconds.
     pub stall_ms: u64,
 }
--- a/crates/sapphiretrack-fakes/src/http_server.rs
+++ b/crates/sapphiretrack-fakes/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP plumbing of all stand-ins.
+//! HTTP server and response helpers that all fakes share.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,14 +15,15 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-/// An error in a body makes the server cut the connection.
+/// Response body. A frame that is an error makes the server close the connection.
 pub(crate) type FakeBody = BoxBody<Bytes, std::io::Error>;
-/// What a stand-in answers.
+/// Response of a fake.
 pub(crate) type FakeResponse = Response<FakeBody>;
-/// A stand-in's answer to come.
+/// Boxed future of a request handler.
 pub(crate) type FakeFuture = Pin<Box<dyn Future<Output = FakeResponse> + Send>>;
 
-/// Serves a stand-in on an address; port 0 takes a free one.
+/// Serves HTTP/1 requests on `address` in a background task and returns the bound address.
+/// Port 0 picks a free port.
 pub(crate) async fn serve<Handler>(
     address: SocketAddr,
     handler: Handler,
@@ -31,7 +32,7 @@
     Handler: Fn(Request<Incoming>) -> FakeFuture + Clone + Send + Sync + 'static,
 {
     let listener = TcpListener::bind(address).await?;
-    let bound = listener.local_addr()?;
+    let local_address = listener.local_addr()?;
     tokio::spawn(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -41,8 +42,8 @@
             let handler = handler.clone();
             tokio::spawn(async move {
                 let service = service_fn(move |request| {
-                    let answer = handler(request);
-                    async move { Ok::<_, Infallible>(answer.await) }
+                    let response = handler(request);
+                    async move { Ok::<_, Infallible>(response.await) }
                 });
                 let connection = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service);
@@ -50,75 +51,76 @@
             });
         }
     });
-    Ok(bound)
+    Ok(local_address)
 }
 
-/// A whole body.
-pub(crate) fn full(text: impl Into<Bytes>) -> FakeBody {
+/// Body that is sent as a single frame.
+pub(crate) fn full_body(text: impl Into<Bytes>) -> FakeBody {
     Full::new(text.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// A JSON answer.
-pub(crate) fn json<Value>(value: &Value) -> FakeResponse
+/// Response with status 200 and `value` as JSON, or with status 500 if it cannot be serialized.
+pub(crate) fn json_response<Value>(value: &Value) -> FakeResponse
 where
     Value: Serialize,
 {
     match serde_json::to_vec(value) {
-        Ok(text) => with_status(StatusCode::OK, text),
-        Err(error) => with_status(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+        Ok(text) => status_response(StatusCode::OK, text),
+        Err(error) => status_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
-/// An answer with a status and a body.
-pub(crate) fn with_status(status: StatusCode, text: impl Into<Bytes>) -> FakeResponse {
-    let mut response = Response::new(full(text));
+/// Response with the given status and JSON text.
+pub(crate) fn status_response(status: StatusCode, text: impl Into<Bytes>) -> FakeResponse {
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
-    let json = http::HeaderValue::from_static("application/json");
+    let content_type = http::HeaderValue::from_static("application/json");
     response
         .headers_mut()
-        .insert(http::header::CONTENT_TYPE, json);
+        .insert(http::header::CONTENT_TYPE, content_type);
     response
 }
 
-/// An answer whose connection is cut before its body comes: a lost reply.
-pub(crate) fn cut() -> FakeResponse {
-    let error = std::io::Error::other("cut by the stand-in");
+/// Response whose body fails at once, which closes the connection: the caller gets no reply.
+pub(crate) fn aborted_response() -> FakeResponse {
+    let error = std::io::Error::other("connection closed by an injected fault");
     let frames = futures::stream::iter([Err::<Frame<Bytes>, _>(error)]);
     Response::new(BodyExt::boxed(StreamBody::new(frames)))
 }
 
-/// Reads a body of JSON.
+/// Reads and parses a JSON body; the error is a response with status 400.
 pub(crate) async fn read_json<Value>(request: Request<Incoming>) -> Result<Value, FakeResponse>
 where
     Value: for<'a> serde::Deserialize<'a>,
 {
     let body = read_bytes(request).await?;
     serde_json::from_slice(&body)
-        .map_err(|error| with_status(StatusCode::BAD_REQUEST, error.to_string()))
+        .map_err(|error| status_response(StatusCode::BAD_REQUEST, error.to_string()))
 }
 
-/// Reads a body.
+/// Reads the whole body; the error is a response with status 400.
 pub(crate) async fn read_bytes(request: Request<Incoming>) -> Result<Bytes, FakeResponse> {
     match request.into_body().collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) => Err(with_status(StatusCode::BAD_REQUEST, error.to_string())),
+        Err(error) => Err(status_response(StatusCode::BAD_REQUEST, error.to_string())),
     }
 }
 
-/// How often one order ran.
+/// Number of executions of one request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RunCount {
-    /// The order: method, path and body.
+    /// Identity of the request: method, URI and body for a plain service, the messages as JSON for
+    /// an engine.
     pub order: String,
-    /// How often it ran.
+    /// Number of executions.
     pub runs: u32,
 }
 
-/// Takes one from a count of faults to come; false if there is none.
-pub(crate) fn take(count: &mut u32) -> bool {
-    let some = *count > 0;
+/// Consumes one pending fault from the counter; returns whether there was one.
+pub(crate) fn take_one(count: &mut u32) -> bool {
+    let is_pending = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    is_pending
 }
--- a/crates/sapphiretrack-fakes/src/kv.rs
+++ b/crates/sapphiretrack-fakes/src/kv.rs
@@ -1,4 +1,4 @@
-//! Cached prefixes that the stand-in engines pass to each other.
+//! Transfer of cached prefixes between fake engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,22 +10,23 @@
 use sapphiretrack_backend::wire::EXPORT_PATH;
 use serde::{Deserialize, Serialize};
 
-/// How long an import may take before the prompt is computed instead.
+/// Time limit for an import; after it, the engine computes the prompt itself.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest export that is read.
+/// Size limit for the body of an exported prefix.
 const MAX_EXPORT_BYTES: usize = 1 << 16;
 
-/// A chat's cached prefix, as one engine exports it; the stand-in's cache has only its length.
+/// Cached prefix of a chat, as an engine exports it. The fake engine stores only its length.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct ExportedPrefix {
-    /// Its length.
+    /// Length of the prefix in tokens.
     pub(crate) tokens: u32,
 }
 
-/// Fetches a chat's prefix from another engine; none if it has none or cannot be reached.
+/// Fetches a chat's cached prefix from another engine. Returns `None` if that engine has none,
+/// cannot be reached, or does not answer within [`IMPORT_TIMEOUT`].
 pub(crate) async fn import_prefix(source: SocketAddr, chat: &str) -> Option<ExportedPrefix> {
     let uri = format!("http://{source}{EXPORT_PATH}{chat}").parse().ok()?;
-    let fetched = tokio::time::timeout(IMPORT_TIMEOUT, async {
+    let fetch = tokio::time::timeout(IMPORT_TIMEOUT, async {
         let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
         let response = client.get(uri).await.ok()?;
         if !response.status().is_success() {
@@ -35,5 +36,5 @@
         let bytes = body.collect().await.ok()?.to_bytes();
         serde_json::from_slice(&bytes).ok()
     });
-    fetched.await.ok().flatten()
+    fetch.await.ok().flatten()
 }
--- a/crates/sapphiretrack-fakes/src/lib.rs
+++ b/crates/sapphiretrack-fakes/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins of the platform, engines and plain services, with a switch for each fault.
+//! In-memory fakes of the platform, model engines and plain services, with fault injection.
 //!
-//! They speak the published protocols of what they stand for. Faults are set in process, or by
-//! `POST /fake/faults` with the JSON of the stand-in's `Faults`.
+//! The fakes speak the same HTTP protocols as the real components. A test in the same process
+//! sets faults with `set_faults`; other processes send `POST /fake/faults` with the JSON of
+//! [`PlatformFaults`], [`EngineFaults`] or [`ServiceFaults`].
 
 mod answer;
 mod engine;
@@ -14,6 +15,6 @@
 pub use answer::{answer_tag, expected_answer, messages_hash, token_text};
 pub use engine::{EngineFaults, EngineSettings, FakeEngine};
 pub use http_server::RunCount;
-pub use orders::ArrivedOrder;
+pub use orders::ReceivedOrder;
 pub use platform::{FakePlatform, PlatformCalls, PlatformFaults, PlatformSettings};
 pub use service::{FakeService, ServiceFaults, ServiceSettings};
--- a/crates/sapphiretrack-fakes/src/main.rs
+++ b/crates/sapphiretrack-fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own, until it is ended.
+//! Runs one fake as a separate process until the process is terminated.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,14 +12,14 @@
 use sapphiretrack_platform::wire::VmList;
 
 const HELP: &str = "\
-sapphiretrack-fakes: a stand-in, for trials and tests
+sapphiretrack-fakes: a fake platform, model engine or plain service for experiments and tests
 
   sapphiretrack-fakes platform [--address IP:PORT] [--list-lag-ms N] [--vms FILE]
   sapphiretrack-fakes engine   [--address IP:PORT] [--incarnation N] [--decode-ms N]
                                [--ignore-fencing]
   sapphiretrack-fakes service  [--address IP:PORT] [--incarnation N] [--name NAME]
 
-It prints `listening IP:PORT` and runs until it is ended. Port 0 takes a free one.
+It prints `listening IP:PORT` and runs until it is terminated. Port 0 picks a free port.
 ";
 
 #[tokio::main]
@@ -39,11 +39,13 @@
 }
 
 async fn run(mut arguments: Arguments) -> Result<(), Box<dyn std::error::Error>> {
-    let kind = arguments.subcommand()?.unwrap_or_default();
-    let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let address = arguments.opt_value_from_str("--address")?.unwrap_or(free);
+    let subcommand = arguments.subcommand()?.unwrap_or_default();
+    let any_free_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let address = arguments
+        .opt_value_from_str("--address")?
+        .unwrap_or(any_free_port);
     let incarnation = arguments.opt_value_from_str("--incarnation")?.unwrap_or(1);
-    let bound = match kind.as_str() {
+    let local_address = match subcommand.as_str() {
         "platform" => {
             let list_lag_ms = arguments.opt_value_from_str("--list-lag-ms")?.unwrap_or(0);
             let settings = PlatformSettings {
@@ -51,10 +53,10 @@
                 list_lag_ms,
                 ..Default::default()
             };
-            let vms: Option<PathBuf> = arguments.opt_value_from_str("--vms")?;
+            let vms_path: Option<PathBuf> = arguments.opt_value_from_str("--vms")?;
             let platform = FakePlatform::start(settings).await?;
-            if let Some(file) = vms {
-                let list: VmList = serde_json::from_str(&std::fs::read_to_string(file)?)?;
+            if let Some(path) = vms_path {
+                let list: VmList = serde_json::from_str(&std::fs::read_to_string(path)?)?;
                 platform.set_vms(list.vms);
             }
             platform.address()
@@ -86,12 +88,12 @@
             };
             FakeService::start(settings).await?.address()
         }
-        other => return Err(format!("there is no stand-in {other:?}").into()),
+        other => return Err(format!("unknown subcommand {other:?}").into()),
     };
     if let Some(argument) = arguments.finish().first() {
         return Err(format!("unknown argument {argument:?}").into());
     }
-    println!("listening {bound}");
+    println!("listening {local_address}");
     std::future::pending::<()>().await;
     Ok(())
 }
--- a/crates/sapphiretrack-fakes/src/orders.rs
+++ b/crates/sapphiretrack-fakes/src/orders.rs
@@ -1,4 +1,4 @@
-//! The order endpoints of a stand-in engine: one that checks fencing numbers or one that does not.
+//! Orders to the fake engine, which checks or ignores their fencing numbers.
 
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::http_server::{FakeResponse, json, read_json, with_status};
+use crate::http_server::{FakeResponse, json_response, read_json, status_response};
 
-/// An order as it arrived, for checks of the history.
+/// An order that the engine received, for tests that check the order history.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ArrivedOrder {
+pub struct ReceivedOrder {
     /// The order.
     pub order: EngineOrder,
-    /// Whether it was taken.
+    /// Whether the engine accepted it.
     pub taken: bool,
 }
 
-/// What an engine keeps about orders.
+/// Handles orders and holds the state that they set.
 #[derive(Debug, Default)]
-pub(crate) struct OrderBook {
-    check: FencingCheck,
+pub(crate) struct OrderHandler {
+    fencing_check: FencingCheck,
     state: EngineState,
-    highest: Fencing,
-    loaded_at: Option<Instant>,
+    highest_fencing: Fencing,
+    loading_until: Option<Instant>,
     load_ms: u64,
-    arrived: Vec<ArrivedOrder>,
+    received: Vec<ReceivedOrder>,
 }
 
-impl OrderBook {
-    /// An engine that serves a model, with nothing ordered yet.
-    pub(crate) fn new(check: FencingCheck, incarnation: u64, load_ms: u64) -> Self {
+impl OrderHandler {
+    /// Creates the state of an engine that serves the model `assistant` and has no orders yet.
+    /// Loading weights takes `load_ms`.
+    pub(crate) fn new(fencing_check: FencingCheck, incarnation: u64, load_ms: u64) -> Self {
         Self {
-            check,
+            fencing_check,
             state: EngineState {
                 incarnation,
                 model: String::from("assistant"),
@@ -46,34 +47,37 @@
         }
     }
 
-    /// Takes or refuses an order.
-    pub(crate) fn take(&mut self, order: EngineOrder) -> bool {
-        let checks = self.check == FencingCheck::Checks;
+    /// Applies an order, or rejects it if it is for another incarnation or, with fencing checks, has
+    /// a lower fencing number than an order that was applied. Returns whether it was applied.
+    pub(crate) fn handle(&mut self, order: EngineOrder) -> bool {
+        let checks_fencing = self.fencing_check == FencingCheck::Checks;
         let taken = order.incarnation == self.state.incarnation
-            && (!checks || order.fencing >= self.highest);
+            && (!checks_fencing || order.fencing >= self.highest_fencing);
         if taken {
-            self.highest = self.highest.max(order.fencing);
+            self.highest_fencing = self.highest_fencing.max(order.fencing);
             self.apply(&order);
         }
-        self.arrived.push(ArrivedOrder { order, taken });
+        self.received.push(ReceivedOrder { order, taken });
         taken
     }
 
-    /// What the engine says that it is.
+    /// The state that the engine reports.
     pub(crate) fn state(&mut self) -> EngineState {
-        self.state.loading = self.loaded_at.is_some_and(|at| Instant::now() < at);
+        self.state.loading = self
+            .loading_until
+            .is_some_and(|until| Instant::now() < until);
         self.state.clone()
     }
 
-    /// All orders as they arrived.
-    pub(crate) fn arrived(&self) -> &[ArrivedOrder] {
-        &self.arrived
+    /// All orders in the sequence in which they were received, rejected ones included.
+    pub(crate) fn received(&self) -> &[ReceivedOrder] {
+        &self.received
     }
 
     fn apply(&mut self, order: &EngineOrder) {
         let goal = &order.goal;
         if goal.needs_weights(&self.state) {
-            self.loaded_at = Some(Instant::now() + Duration::from_millis(self.load_ms));
+            self.loading_until = Some(Instant::now() + Duration::from_millis(self.load_ms));
         }
         let state = &mut self.state;
         state.model = goal.model.clone().unwrap_or_else(|| state.model.clone());
@@ -86,23 +90,24 @@
         }
         state.role = goal.role.unwrap_or(state.role);
         state.stopped = goal.stopped;
-        if self.check == FencingCheck::Checks {
+        if self.fencing_check == FencingCheck::Checks {
             state.fencing = order.fencing;
         }
     }
 }
 
-/// Reads an order from a request and answers it.
-pub(crate) async fn answer_order<Take>(request: Request<Incoming>, take: Take) -> FakeResponse
+/// Reads an order from a request, hands it to `handle` and answers with status 200 if it was
+/// accepted, else with 409.
+pub(crate) async fn answer_order<Handle>(request: Request<Incoming>, handle: Handle) -> FakeResponse
 where
-    Take: FnOnce(EngineOrder) -> bool,
+    Handle: FnOnce(EngineOrder) -> bool,
 {
     let order = match read_json(request).await {
         Ok(order) => order,
         Err(response) => return response,
     };
-    if take(order) {
-        return json(&());
+    if handle(order) {
+        return json_response(&());
     }
-    with_status(StatusCode::CONFLICT, "{}")
+    status_response(StatusCode::CONFLICT, "{}")
 }
--- a/crates/sapphiretrack-fakes/src/platform.rs
+++ b/crates/sapphiretrack-fakes/src/platform.rs
@@ -1,4 +1,5 @@
-//! The stand-in platform: table, objects, and a list of VMs that lags.
+//! Fake platform: a transactional table, an object store, and a list of VMs that is delivered with
+//! a delay.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,19 +18,20 @@
 use tokio::time::Instant;
 
 use crate::http_server::{
-    FakeFuture, FakeResponse, cut, full, json, read_bytes, read_json, serve, take, with_status,
+    FakeFuture, FakeResponse, aborted_response, full_body, json_response, read_bytes, read_json,
+    serve, status_response, take_one,
 };
 
-/// How the stand-in behaves without faults.
+/// Behaviour of the fake without faults.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// How old the list of VMs is.
+    /// Delay in milliseconds until readers see a new list of VMs.
     pub list_lag_ms: u64,
-    /// Writes that it takes a second; more are refused with status 429.
+    /// Limit of writes per second; more are rejected with status 429.
     pub writes_per_s: u32,
-    /// Reads that it takes a second; more are refused with status 429.
+    /// Limit of reads of the table and of objects per second; more are rejected with status 429.
     pub reads_per_s: u32,
 }
 
@@ -44,43 +46,43 @@
     }
 }
 
-/// The faults of the platform.
+/// Injected faults of the platform.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every call is cut without effect.
+    /// Closes the connection of every call, which has no effect.
     pub down: bool,
-    /// Every call takes so much longer.
+    /// Delay of every call in milliseconds.
     pub delay_ms: u64,
-    /// The replies of so many of the next transactions are lost after they took effect.
+    /// Number of next transactions that take effect but whose replies are lost.
     pub lose_replies: u32,
-    /// So many of the next transactions are cut before they take effect.
+    /// Number of next transactions whose connections are closed before they take effect.
     pub lose_requests: u32,
-    /// The replies of transactions come so much later than their effect.
+    /// Delay in milliseconds between a transaction's effect and its reply.
     pub delay_replies_ms: u64,
-    /// Reads of the table answer as it stood when this was set.
+    /// Reads of the table return its content at the time this was set.
     pub older_reads: bool,
-    /// Reads of the table give values that are no values of the fleet.
+    /// Reads of the table return values of an unknown format.
     pub wrong_reads: bool,
-    /// Transactions that write a row with this prefix wait, without effect, until this is taken
-    /// back; empty for none.
+    /// Transactions that write or delete a row whose key has this prefix wait, without effect,
+    /// until this is cleared; empty for none.
     pub hold_writes_to: String,
 }
 
-/// Calls that the platform answered or cut.
+/// Numbers of calls that the platform received, rejected and aborted ones included.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct PlatformCalls {
-    /// Reads of the table and of objects.
+    /// Reads of the table and of objects, and calls of unknown paths.
     pub reads: u64,
     /// Transactions and writes of objects.
     pub writes: u64,
     /// Reads of the list of VMs.
     pub lists: u64,
-    /// Transactions that were held before their effect.
+    /// Transactions that waited because of [`PlatformFaults::hold_writes_to`].
     pub held: u64,
 }
 
-/// The stand-in platform; clones are the same one.
+/// Handle of a fake platform; clones share its state.
 #[derive(Clone)]
 pub struct FakePlatform {
     address: SocketAddr,
@@ -93,20 +95,21 @@
     faults: PlatformFaults,
     calls: PlatformCalls,
     rows: BTreeMap<String, Row>,
-    /// What reads answer from while they are older.
-    older_rows: Option<BTreeMap<String, Row>>,
-    /// What a restore goes back to.
+    /// Rows that reads return while [`PlatformFaults::older_reads`] is set.
+    stale_rows: Option<BTreeMap<String, Row>>,
+    /// Rows that [`FakePlatform::restore`] returns to.
     saved_rows: BTreeMap<String, Row>,
     objects: BTreeMap<String, Bytes>,
     last_row_version: u64,
+    /// Lists of VMs with the times at which they were set, oldest first.
     vms: VecDeque<(Instant, Vec<VmRecord>)>,
-    second_started: Option<Instant>,
+    second_started_at: Option<Instant>,
     writes_in_second: u32,
     reads_in_second: u32,
 }
 
 impl FakePlatform {
-    /// Starts the stand-in.
+    /// Starts the fake.
     pub async fn start(settings: PlatformSettings) -> std::io::Result<Self> {
         let mut platform = Self {
             address: settings.address,
@@ -116,69 +119,70 @@
         let handler = platform.clone();
         platform.address = serve(platform.address, move |request| {
             let platform = handler.clone();
-            Box::pin(async move { platform.answer(request).await }) as FakeFuture
+            Box::pin(async move { platform.handle(request).await }) as FakeFuture
         })
         .await?;
         Ok(platform)
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its URL, as routers need it.
+    /// Base URL, as routers need it.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Sets the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         let mut state = self.lock();
         if !faults.older_reads {
-            state.older_rows = None;
-        } else if state.older_rows.is_none() {
-            state.older_rows = Some(state.rows.clone());
+            state.stale_rows = None;
+        } else if state.stale_rows.is_none() {
+            state.stale_rows = Some(state.rows.clone());
         }
         state.faults = faults;
     }
 
-    /// Reads and writes of table and objects that were taken so far.
+    /// Numbers of calls received so far.
     pub fn calls(&self) -> PlatformCalls {
         self.lock().calls
     }
 
-    /// Remembers the table as it stands, for a later restore.
+    /// Saves the current table for [`FakePlatform::restore`].
     pub fn save(&self) {
         let mut state = self.lock();
         state.saved_rows = state.rows.clone();
     }
 
-    /// Puts the table back to what was saved; row versions go on rising.
+    /// Resets the table to the saved one. Row versions are not reset: the next transaction gets a
+    /// higher one than all before.
     pub fn restore(&self) {
         let mut state = self.lock();
         state.rows = state.saved_rows.clone();
     }
 
-    /// Sets the list of VMs; routers see it after the lag.
+    /// Sets the list of VMs; readers see it after [`PlatformSettings::list_lag_ms`].
     pub fn set_vms(&self, vms: Vec<VmRecord>) {
         self.lock().vms.push_back((Instant::now(), vms));
     }
 
-    /// The rows as they stand, for checks.
+    /// All current rows, regardless of faults.
     pub fn rows(&self) -> Vec<Row> {
         self.lock().rows.values().cloned().collect()
     }
 
-    /// Puts the table back to rows that were read before.
+    /// Replaces the table by rows that were read earlier. Row versions are not reset.
     pub fn restore_rows(&self, rows: Vec<Row>) {
         self.lock().rows = rows.into_iter().map(|row| (row.key.clone(), row)).collect();
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> FakeResponse {
+    async fn handle(&self, request: Request<Incoming>) -> FakeResponse {
         let path = request.uri().path().to_owned();
-        if let Some(admin) = path.strip_prefix("/fake/") {
-            return self.administer(admin, request).await;
+        if let Some(command) = path.strip_prefix("/fake/") {
+            return self.handle_control(command, request).await;
         }
         let faults = {
             let mut state = self.lock();
@@ -189,14 +193,14 @@
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
         if faults.down {
-            return cut();
+            return aborted_response();
         }
-        let answered = match (request.method().as_str(), path.as_str()) {
+        let result = match (request.method().as_str(), path.as_str()) {
             ("POST", "/table/get") => self.get(request).await,
             ("POST", "/table/scan") => self.scan(request).await,
             ("POST", "/table/transact") => self.transact(request).await,
-            ("GET", "/vms") => Ok(json(&VmList {
-                vms: self.visible_vms(),
+            ("GET", "/vms") => Ok(json_response(&VmList {
+                vms: self.delivered_vms(),
             })),
             (method @ ("GET" | "PUT"), path) => match path.strip_prefix("/objects/") {
                 Some(name) if method == "GET" => Ok(self.get_object(name)),
@@ -204,59 +208,59 @@
                     let name = name.to_owned();
                     self.put_object(name, request).await
                 }
-                None => Ok(with_status(StatusCode::NOT_FOUND, "{}")),
+                None => Ok(status_response(StatusCode::NOT_FOUND, "{}")),
             },
-            _ => Ok(with_status(StatusCode::NOT_FOUND, "{}")),
+            _ => Ok(status_response(StatusCode::NOT_FOUND, "{}")),
         };
-        answered.unwrap_or_else(|response| response)
+        result.unwrap_or_else(|response| response)
     }
 
-    async fn administer(&self, path: &str, request: Request<Incoming>) -> FakeResponse {
-        match path {
+    async fn handle_control(&self, command: &str, request: Request<Incoming>) -> FakeResponse {
+        match command {
             "faults" => match read_json(request).await {
                 Ok(faults) => {
                     self.set_faults(faults);
-                    json(&())
+                    json_response(&())
                 }
                 Err(response) => response,
             },
             "vms" => match read_json::<VmList>(request).await {
                 Ok(list) => {
                     self.set_vms(list.vms);
-                    json(&())
+                    json_response(&())
                 }
                 Err(response) => response,
             },
             "save" => {
                 self.save();
-                json(&())
+                json_response(&())
             }
             "restore" => {
                 self.restore();
-                json(&())
+                json_response(&())
             }
-            "calls" => json(&self.calls()),
-            "rows" => json(&ScanReply { rows: self.rows() }),
-            _ => with_status(StatusCode::NOT_FOUND, "{}"),
+            "calls" => json_response(&self.calls()),
+            "rows" => json_response(&ScanReply { rows: self.rows() }),
+            _ => status_response(StatusCode::NOT_FOUND, "{}"),
         }
     }
 
     async fn get(&self, request: Request<Incoming>) -> Result<FakeResponse, FakeResponse> {
         let get: GetRequest = read_json(request).await?;
         let mut state = self.lock();
-        if !state.take_read(self.settings.reads_per_s) {
-            return Err(with_status(StatusCode::TOO_MANY_REQUESTS, "{}"));
+        if !state.admit_read(self.settings.reads_per_s) {
+            return Err(status_response(StatusCode::TOO_MANY_REQUESTS, "{}"));
         }
         let row = state.readable_rows().get(&get.key).cloned();
-        let row = row.map(|row| state.as_read(row));
-        Ok(json(&GetReply { row }))
+        let row = row.map(|row| state.with_read_faults(row));
+        Ok(json_response(&GetReply { row }))
     }
 
     async fn scan(&self, request: Request<Incoming>) -> Result<FakeResponse, FakeResponse> {
         let scan: ScanRequest = read_json(request).await?;
         let mut state = self.lock();
-        if !state.take_read(self.settings.reads_per_s) {
-            return Err(with_status(StatusCode::TOO_MANY_REQUESTS, "{}"));
+        if !state.admit_read(self.settings.reads_per_s) {
+            return Err(status_response(StatusCode::TOO_MANY_REQUESTS, "{}"));
         }
         let rows = state
             .readable_rows()
@@ -264,53 +268,53 @@
             .take_while(|(key, _)| key.starts_with(&scan.prefix))
             .filter(|(key, _)| scan.after.as_ref().is_none_or(|after| *key > after))
             .take(scan.limit as usize)
-            .map(|(_, row)| state.as_read(row.clone()))
+            .map(|(_, row)| state.with_read_faults(row.clone()))
             .collect();
-        Ok(json(&ScanReply { rows }))
+        Ok(json_response(&ScanReply { rows }))
     }
 
     async fn transact(&self, request: Request<Incoming>) -> Result<FakeResponse, FakeResponse> {
         let transaction: TransactRequest = read_json(request).await?;
-        self.wait_unheld(&transaction).await;
+        self.wait_while_held(&transaction).await;
         let (reply, delay_ms) = {
             let mut state = self.lock();
-            if !state.take_write(self.settings.writes_per_s) {
-                return Err(with_status(StatusCode::TOO_MANY_REQUESTS, "{}"));
+            if !state.admit_write(self.settings.writes_per_s) {
+                return Err(status_response(StatusCode::TOO_MANY_REQUESTS, "{}"));
             }
-            if take(&mut state.faults.lose_requests) {
-                return Err(cut());
+            if take_one(&mut state.faults.lose_requests) {
+                return Err(aborted_response());
             }
             let reply = state.transact(&transaction);
-            if take(&mut state.faults.lose_replies) {
-                return Err(cut());
+            if take_one(&mut state.faults.lose_replies) {
+                return Err(aborted_response());
             }
             (reply, state.faults.delay_replies_ms)
         };
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-        Ok(json(&reply))
+        Ok(json_response(&reply))
     }
 
-    /// Waits while writes to a row of the transaction are held. A caller that leaves ends the
-    /// wait, and the transaction never takes effect.
-    async fn wait_unheld(&self, transaction: &TransactRequest) {
+    /// Waits while writes to a row of the transaction are held. If the caller disconnects, the
+    /// server drops this future and the transaction never takes effect.
+    async fn wait_while_held(&self, transaction: &TransactRequest) {
         const POLL: Duration = Duration::from_millis(5);
-        if !self.lock().faults.holds(transaction) {
+        if !self.lock().faults.must_hold(transaction) {
             return;
         }
         self.lock().calls.held += 1;
-        while self.lock().faults.holds(transaction) {
+        while self.lock().faults.must_hold(transaction) {
             tokio::time::sleep(POLL).await;
         }
     }
 
     fn get_object(&self, name: &str) -> FakeResponse {
         let mut state = self.lock();
-        if !state.take_read(self.settings.reads_per_s) {
-            return with_status(StatusCode::TOO_MANY_REQUESTS, "{}");
+        if !state.admit_read(self.settings.reads_per_s) {
+            return status_response(StatusCode::TOO_MANY_REQUESTS, "{}");
         }
         match state.objects.get(name) {
-            Some(body) => http::Response::new(full(body.clone())),
-            None => with_status(StatusCode::NOT_FOUND, "{}"),
+            Some(body) => http::Response::new(full_body(body.clone())),
+            None => status_response(StatusCode::NOT_FOUND, "{}"),
         }
     }
 
@@ -321,14 +325,14 @@
     ) -> Result<FakeResponse, FakeResponse> {
         let body = read_bytes(request).await?;
         let mut state = self.lock();
-        if !state.take_write(self.settings.writes_per_s) {
-            return Err(with_status(StatusCode::TOO_MANY_REQUESTS, "{}"));
+        if !state.admit_write(self.settings.writes_per_s) {
+            return Err(status_response(StatusCode::TOO_MANY_REQUESTS, "{}"));
         }
         state.objects.insert(name, body);
-        Ok(json(&()))
+        Ok(json_response(&()))
     }
 
-    fn visible_vms(&self) -> Vec<VmRecord> {
+    fn delivered_vms(&self) -> Vec<VmRecord> {
         let lag = Duration::from_millis(self.settings.list_lag_ms);
         let mut state = self.lock();
         while state.vms.len() > 1 && state.vms[1].0.elapsed() >= lag {
@@ -346,12 +350,12 @@
 }
 
 impl PlatformFaults {
-    fn holds(&self, transaction: &TransactRequest) -> bool {
+    fn must_hold(&self, transaction: &TransactRequest) -> bool {
         let prefix = self.hold_writes_to.as_str();
-        let held = |write: &Write| match write {
+        let is_held = |write: &Write| match write {
             Write::Put { key, .. } | Write::Delete { key } => key.starts_with(prefix),
         };
-        !prefix.is_empty() && transaction.writes.iter().any(held)
+        !prefix.is_empty() && transaction.writes.iter().any(is_held)
     }
 }
 
@@ -366,28 +370,29 @@
 }
 
 impl State {
-    fn begin_second(&mut self) {
-        let fresh = self
-            .second_started
-            .is_none_or(|at| at.elapsed() >= Duration::from_secs(1));
-        if fresh {
-            self.second_started = Some(Instant::now());
+    /// Resets the counters of the rate limits if the current second is over.
+    fn start_second_if_over(&mut self) {
+        let is_over = self
+            .second_started_at
+            .is_none_or(|started| started.elapsed() >= Duration::from_secs(1));
+        if is_over {
+            self.second_started_at = Some(Instant::now());
             self.writes_in_second = 0;
             self.reads_in_second = 0;
         }
     }
 
-    fn take_read(&mut self, reads_per_s: u32) -> bool {
-        self.begin_second();
+    fn admit_read(&mut self, reads_per_s: u32) -> bool {
+        self.start_second_if_over();
         self.reads_in_second += 1;
         self.reads_in_second <= reads_per_s
     }
 
     fn readable_rows(&self) -> &BTreeMap<String, Row> {
-        self.older_rows.as_ref().unwrap_or(&self.rows)
+        self.stale_rows.as_ref().unwrap_or(&self.rows)
     }
 
-    fn as_read(&self, row: Row) -> Row {
+    fn with_read_faults(&self, row: Row) -> Row {
         if !self.faults.wrong_reads {
             return row;
         }
@@ -395,22 +400,22 @@
         Row { value, ..row }
     }
 
-    fn take_write(&mut self, writes_per_s: u32) -> bool {
-        self.begin_second();
+    fn admit_write(&mut self, writes_per_s: u32) -> bool {
+        self.start_second_if_over();
         self.writes_in_second += 1;
         self.writes_in_second <= writes_per_s
     }
 
     fn transact(&mut self, transaction: &TransactRequest) -> TransactReply {
         for condition in &transaction.conditions {
-            let (key, holds) = match condition {
+            let (key, is_met) = match condition {
                 Condition::Absent { key } => (key, !self.rows.contains_key(key)),
                 Condition::Version { key, row_version } => {
                     let row = self.rows.get(key);
                     (key, row.is_some_and(|row| row.row_version == *row_version))
                 }
             };
-            if !holds {
+            if !is_met {
                 return TransactReply::Conflict { key: key.clone() };
             }
         }
--- a/crates/sapphiretrack-fakes/src/service.rs
+++ b/crates/sapphiretrack-fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in plain service: it counts the runs of each order.
+//! Fake plain service that counts the executions of each request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,19 +12,20 @@
 use serde::{Deserialize, Serialize};
 
 use crate::http_server::{
-    FakeFuture, FakeResponse, RunCount, cut, json, read_bytes, read_json, serve, take, with_status,
+    FakeFuture, FakeResponse, RunCount, aborted_response, json_response, read_bytes, read_json,
+    serve, status_response, take_one,
 };
 
-/// How the stand-in behaves without faults.
+/// Behaviour of the fake without faults.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Its name, which answers carry.
+    /// Name that its answers contain.
     pub name: String,
-    /// Which run of it.
+    /// Incarnation that it reports.
     pub incarnation: Incarnation,
-    /// How long a call takes.
+    /// Duration of a call in milliseconds.
     pub work_ms: u64,
 }
 
@@ -39,27 +40,27 @@
     }
 }
 
-/// The faults of a plain service.
+/// Injected faults of a plain service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// So many of the next calls are refused before they start.
+    /// Number of next calls that are rejected before they are executed.
     pub refuse: u32,
-    /// So many of the next calls run and their replies are lost.
+    /// Number of next calls that are executed but whose replies are lost.
     pub lose_replies: u32,
-    /// So many of the next replies carry another attempt's id.
+    /// Number of next replies that carry the id of another attempt.
     pub crossed: u32,
-    /// Calls, and reports, wait until this is taken back.
+    /// Calls and load reports wait until this is cleared.
     pub frozen: bool,
-    /// The service says that it is leaving.
+    /// The service reports that it is about to stop.
     pub leaving: bool,
-    /// So many of the next calls run and are answered late.
+    /// Number of next calls that are executed and answered late.
     pub late_replies: u32,
-    /// How late.
+    /// Delay of late answers in milliseconds.
     pub late_ms: u64,
 }
 
-/// The stand-in plain service; clones are the same one.
+/// Handle of a fake plain service; clones share its state.
 #[derive(Clone)]
 pub struct FakeService {
     address: SocketAddr,
@@ -75,7 +76,7 @@
 }
 
 impl FakeService {
-    /// Starts the stand-in.
+    /// Starts the fake.
     pub async fn start(settings: ServiceSettings) -> std::io::Result<Self> {
         let mut service = Self {
             address: settings.address,
@@ -85,23 +86,23 @@
         let handler = service.clone();
         service.address = serve(service.address, move |request| {
             let service = handler.clone();
-            Box::pin(async move { service.answer(request).await }) as FakeFuture
+            Box::pin(async move { service.handle(request).await }) as FakeFuture
         })
         .await?;
         Ok(service)
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.lock().faults = faults;
     }
 
-    /// How often each order ran.
+    /// Number of executions of each request.
     pub fn runs(&self) -> Vec<RunCount> {
         let state = self.lock();
         state
@@ -114,42 +115,47 @@
             .collect()
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> FakeResponse {
+    async fn handle(&self, request: Request<Incoming>) -> FakeResponse {
         match request.uri().path() {
             "/fake/faults" => match read_json(request).await {
                 Ok(faults) => {
                     self.set_faults(faults);
-                    json(&())
+                    json_response(&())
                 }
                 Err(response) => response,
             },
-            "/fake/runs" => json(&self.runs()),
+            "/fake/runs" => json_response(&self.runs()),
             "/load" => {
-                self.wait_unfrozen().await;
+                self.wait_while_frozen().await;
                 let state = self.lock();
-                json(&LoadReport {
+                json_response(&LoadReport {
                     incarnation: self.settings.incarnation,
                     running: state.running,
                     leaving: state.faults.leaving,
                     ..LoadReport::default()
                 })
             }
-            _ => self.run(request).await.unwrap_or_else(|response| response),
+            _ => self
+                .execute(request)
+                .await
+                .unwrap_or_else(|response| response),
         }
     }
 
-    async fn run(&self, request: Request<Incoming>) -> Result<FakeResponse, FakeResponse> {
+    async fn execute(&self, request: Request<Incoming>) -> Result<FakeResponse, FakeResponse> {
         let attempt = request.headers().get(ATTEMPT_HEADER).cloned();
-        let line = format!("{} {}", request.method(), request.uri());
+        let request_line = format!("{} {}", request.method(), request.uri());
         let body = read_bytes(request).await?;
-        let order = format!("{line} {}", String::from_utf8_lossy(&body));
-        self.wait_unfrozen().await;
-        if take(&mut self.lock().faults.refuse) {
-            let mut response = with_status(StatusCode::SERVICE_UNAVAILABLE, "{}");
-            let yes = http::HeaderValue::from_static("true");
-            response.headers_mut().insert(NOT_STARTED_HEADER, yes);
-            if let Some(echoed) = self.echoed(attempt) {
-                response.headers_mut().insert(ATTEMPT_HEADER, echoed);
+        let order = format!("{request_line} {}", String::from_utf8_lossy(&body));
+        self.wait_while_frozen().await;
+        if take_one(&mut self.lock().faults.refuse) {
+            let mut response = status_response(StatusCode::SERVICE_UNAVAILABLE, "{}");
+            let header_true = http::HeaderValue::from_static("true");
+            response
+                .headers_mut()
+                .insert(NOT_STARTED_HEADER, header_true);
+            if let Some(attempt) = self.reply_attempt(attempt) {
+                response.headers_mut().insert(ATTEMPT_HEADER, attempt);
             }
             return Ok(response);
         }
@@ -161,42 +167,42 @@
             *runs
         };
         tokio::time::sleep(Duration::from_millis(self.settings.work_ms)).await;
-        let late_ms = self.take_late_ms();
-        tokio::time::sleep(Duration::from_millis(late_ms)).await;
+        let reply_delay_ms = self.take_reply_delay_ms();
+        tokio::time::sleep(Duration::from_millis(reply_delay_ms)).await;
         self.lock().running -= 1;
-        if take(&mut self.lock().faults.lose_replies) {
-            return Ok(cut());
+        if take_one(&mut self.lock().faults.lose_replies) {
+            return Ok(aborted_response());
         }
         let answer = serde_json::json!({
             "server": self.settings.name,
             "order": order,
             "run": runs,
         });
-        let mut response = json(&answer);
-        if let Some(echoed) = self.echoed(attempt) {
-            response.headers_mut().insert(ATTEMPT_HEADER, echoed);
+        let mut response = json_response(&answer);
+        if let Some(attempt) = self.reply_attempt(attempt) {
+            response.headers_mut().insert(ATTEMPT_HEADER, attempt);
         }
         Ok(response)
     }
 
-    /// The attempt id that a reply carries.
-    fn echoed(&self, attempt: Option<http::HeaderValue>) -> Option<http::HeaderValue> {
-        if take(&mut self.lock().faults.crossed) {
+    /// The attempt id that a reply carries: that of the request, unless a fault replaces it.
+    fn reply_attempt(&self, attempt: Option<http::HeaderValue>) -> Option<http::HeaderValue> {
+        if take_one(&mut self.lock().faults.crossed) {
             return Some(http::HeaderValue::from_static("another-attempt"));
         }
         attempt
     }
 
-    fn take_late_ms(&self) -> u64 {
+    fn take_reply_delay_ms(&self) -> u64 {
         let faults = &mut self.lock().faults;
-        if take(&mut faults.late_replies) {
+        if take_one(&mut faults.late_replies) {
             faults.late_ms
         } else {
             0
         }
     }
 
-    async fn wait_unfrozen(&self) {
+    async fn wait_while_frozen(&self) {
         const POLL: Duration = Duration::from_millis(5);
         while self.lock().faults.frozen {
             tokio::time::sleep(POLL).await;
