--- a/deploy/experiment/src/error.rs
+++ b/deploy/experiment/src/error.rs
@@ -1,61 +1,63 @@
-//! What can go wrong in an experiment.
+//! Errors of experiments.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why an experiment cannot go on.
+/// Error that ends an experiment.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ExperimentError {
-    /// An argument is not understood.
-    #[snafu(display("{text:?} is no {what} (hint: {hint})"))]
+    /// An argument is malformed.
+    #[snafu(display("{text:?} is not a valid {what} (hint: {hint})"))]
     Argument {
-        /// What was given.
+        /// The argument as given.
         text: String,
-        /// What it should be.
+        /// Name of the expected value.
         what: &'static str,
-        /// How it should look.
+        /// Expected format.
         hint: &'static str,
     },
     /// A file or folder cannot be read, written or copied.
-    #[snafu(display("{}: {source}", path.display()))]
+    #[snafu(display("cannot access {}: {source}", path.display()))]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// Cause of the error.
         source: std::io::Error,
     },
     /// A program cannot be started.
-    #[snafu(display("cannot start {program}: {source} (hint: --bench names the bench's program)"))]
+    #[snafu(display(
+        "cannot start {program}: {source} (hint: --bench takes the path of the bench's program)"
+    ))]
     Start {
-        /// The program.
+        /// Path of the program.
         program: String,
-        /// Why.
+        /// Cause of the error.
         source: std::io::Error,
     },
-    /// A day was played without a report.
-    #[snafu(display("{play} gave no report: {output}"))]
+    /// The bench ran a day but wrote no report.
+    #[snafu(display("run {run} wrote no report; end of the bench's output: {output}"))]
     NoReport {
-        /// The play.
-        play: String,
-        /// The end of what the bench said.
+        /// Name of the run.
+        run: String,
+        /// End of the bench's standard output.
         output: String,
     },
-    /// A report cannot be read.
-    #[snafu(display("{}: {source} (hint: remove it, and the day is played again)", path.display()))]
+    /// A report cannot be parsed.
+    #[snafu(display("cannot parse report {}: {source} (hint: remove it to run the day again)", path.display()))]
     Report {
-        /// The report.
+        /// Path of the report.
         path: PathBuf,
-        /// Why.
+        /// Cause of the error.
         source: serde_json::Error,
     },
-    /// A site file cannot be read.
-    #[snafu(display("{}: {source} (hint: --site takes the site file that was played)", path.display()))]
+    /// A site file cannot be parsed.
+    #[snafu(display("cannot parse site file {}: {source} (hint: --site takes the site file of the run)", path.display()))]
     Site {
-        /// The file.
+        /// Path of the site file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the error.
         source: toml::de::Error,
     },
 }
