--- a/crates/sapphiretrack-tests/benches/configuration.rs
+++ b/crates/sapphiretrack-tests/benches/configuration.rs
@@ -1,5 +1,5 @@
-//! Measures configuration on router processes: time until a change is in force on the last of
-//! nine, what it costs the platform and the control network, and memory for 24,000 customers.
+//! Measures the configuration of router processes: the time until a change is in force on all nine
+//! routers, its load on the platform and the control network, and memory for 24,000 customers.
 //!
 //! `cargo build --release --workspace --bins && cargo bench -p sapphiretrack-tests --bench
 //! configuration -- in-force` (or `memory`).
@@ -15,17 +15,19 @@
 use sapphiretrack_tests::{Fleet, FleetSettings, contract_toml, get_text};
 
 const ROUTERS: usize = 9;
+/// Number of changes per scenario.
 const CHANGES: u32 = 200;
 const CUSTOMERS: u32 = 24_000;
-/// How many different tables of classes the customers have.
+/// Number of different class tables among the customers.
 const CLASS_TABLES: u32 = 24;
-const IDLE: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(5);
+/// How long the costs of an idle fleet are measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[tokio::main]
 async fn main() {
-    let chosen: Vec<String> = std::env::args().skip(1).collect();
-    let runs = |name: &str| chosen.iter().any(|argument| argument == name);
+    let selected: Vec<String> = std::env::args().skip(1).collect();
+    let runs = |name: &str| selected.iter().any(|argument| argument == name);
     if runs("in-force") {
         measure_in_force().await;
     }
@@ -37,7 +39,7 @@
     }
 }
 
-/// What goes wrong around each change.
+/// A fault of the platform during the changes.
 #[derive(Clone, Copy)]
 struct Scenario {
     name: &'static str,
@@ -54,7 +56,7 @@
     })
     .await;
     let before = Costs::read(&fleet).await;
-    tokio::time::sleep(IDLE).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     Costs::read(&fleet).await.print_since(&before, "idle");
     let scenarios = [
         ("healthy", 0, false),
@@ -73,15 +75,15 @@
 }
 
 async fn measure_scenario(fleet: &Fleet, scenario: Scenario, mut version: u64) -> u64 {
-    let up = PlatformFaults {
+    let base_faults = PlatformFaults {
         delay_ms: scenario.delay_ms,
         ..PlatformFaults::default()
     };
-    let down = PlatformFaults {
+    let outage = PlatformFaults {
         down: true,
         ..PlatformFaults::default()
     };
-    fleet.set_faults(fleet.platform_address, &up).await;
+    fleet.set_faults(fleet.platform_address, &base_faults).await;
     let before = Costs::read(fleet).await;
     let mut in_force_ms: Vec<u64> = Vec::new();
     for number in 0..CHANGES {
@@ -99,12 +101,12 @@
         };
         version = made;
         if scenario.down_after_accept {
-            fleet.set_faults(fleet.platform_address, &down).await;
+            fleet.set_faults(fleet.platform_address, &outage).await;
         }
         wait_in_force(fleet, version).await;
         in_force_ms.push(accepted_at.elapsed().as_millis() as u64);
         if scenario.down_after_accept {
-            fleet.set_faults(fleet.platform_address, &up).await;
+            fleet.set_faults(fleet.platform_address, &base_faults).await;
         }
     }
     in_force_ms.sort_unstable();
@@ -128,12 +130,12 @@
             .await
             .is_ok_and(|status| status.config_version < version)
         {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Counts since the start of the fleet.
+/// Platform calls and control traffic since the start of the fleet.
 struct Costs {
     at: Instant,
     platform_calls: PlatformCalls,
@@ -155,7 +157,7 @@
         }
         Self {
             at: Instant::now(),
-            platform_calls: serde_json::from_str(&calls).expect("the counts"),
+            platform_calls: serde_json::from_str(&calls).expect("the counts are JSON"),
             control_bytes,
         }
     }
@@ -166,7 +168,7 @@
         let writes = self.platform_calls.writes - before.platform_calls.writes;
         let bytes = (self.control_bytes - before.control_bytes) as f64 / ROUTERS as f64;
         println!(
-            "{name}: {seconds:.1} s, table and object reads {:.2}/s, writes {:.2}/s, peer request bytes {:.0}/s a router",
+            "{name}: {seconds:.1} s, table and object reads {:.2}/s, writes {:.2}/s, peer request bytes {:.0}/s per router",
             reads as f64 / seconds,
             writes as f64 / seconds,
             bytes / seconds
@@ -190,8 +192,13 @@
     });
     let store = ConfigurationStore::new(platform);
     let written = store.republish(&many_customers(), "bench", 0).await;
-    let written = written.expect("an answer").expect("it is written");
-    store.write_snapshot(&written).await.expect("it is written");
+    let written = written
+        .expect("the platform answers")
+        .expect("the configuration is written");
+    store
+        .write_snapshot(&written)
+        .await
+        .expect("the snapshot is written");
     let url = format!("http://{}/fake/calls", fleet.platform_address);
     let reads_before = get_text(&url).await;
     let started = Instant::now();
@@ -214,7 +221,11 @@
         seen_version: 0,
         contract_toml: contract_toml(5).replace("\"teranga\"", "\"one-more\""),
     };
-    let reply = fleet.operator(0).apply(&request).await.expect("an answer");
+    let reply = fleet
+        .operator(0)
+        .apply(&request)
+        .await
+        .expect("the router answers");
     println!(
         "one change: {reply:?} after {} ms",
         started.elapsed().as_millis()
@@ -223,7 +234,7 @@
 }
 
 fn many_customers() -> FleetConfig {
-    let contract = parse_contract(&contract_toml(10)).expect("the contract is good");
+    let contract = parse_contract(&contract_toml(10)).expect("the contract is valid");
     let named = |number: u32| {
         let mut classes = contract.classes.as_ref().clone();
         for class in classes.values_mut() {
@@ -259,10 +270,10 @@
 
 fn resident_kb(fleet: &Fleet, router: usize) -> u64 {
     let path = format!("/proc/{}/status", fleet.routers[router].process.id());
-    let status = std::fs::read_to_string(path).expect("the process runs");
+    let status = std::fs::read_to_string(path).expect("the status of the process can be read");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let digits = line.and_then(|line| line.split_whitespace().nth(1));
     digits
         .and_then(|digits| digits.parse().ok())
-        .expect("a number")
+        .expect("VmRSS is a number")
 }
--- a/crates/sapphiretrack-tests/src/fleet.rs
+++ b/crates/sapphiretrack-tests/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback: platform, engines, a plain service and routers as processes.
+//! A fleet on loopback: a fake platform, engines, plain services and routers as processes.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,27 +12,27 @@
 use crate::http_call::post_json;
 use crate::process::ChildProcess;
 
-/// The key of the test customer's callers.
+/// The access key of the test customer's callers.
 pub const CALLER_KEY: &str = "caller-key-of-the-tests";
-/// The operators' key.
+/// The access key of the operators.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-tests";
-/// Counts the fleets of this process, for their cell keys.
-static FLEETS: AtomicU64 = AtomicU64::new(0);
+/// Number of fleets that this process has started; makes their cell keys unique.
+static FLEET_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// The size of a fleet and how its parts are started.
+/// The size of a fleet and the flags of its processes.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Routers, over three availability zones.
+    /// Number of routers, spread over three availability zones.
     pub routers: usize,
-    /// Engines of the pool `assistant`.
+    /// Number of engines in the pool `assistant`.
     pub engines: usize,
-    /// Servers of the pool `plant`.
+    /// Number of servers in the pool `plant`.
     pub services: usize,
-    /// Further flags of each router.
+    /// Additional flags of each router.
     pub router_flags: Vec<String>,
-    /// How long lookups may be kept.
+    /// Time to live of the routers' entry lookups, in milliseconds.
     pub entry_ttl_ms: u64,
-    /// Further flags of each engine.
+    /// Additional flags of each engine.
     pub engine_flags: Vec<String>,
 }
 
@@ -49,17 +49,17 @@
     }
 }
 
-/// A process with the VM that it stands for.
+/// A process and the VM under which the platform lists it.
 pub struct Member {
     /// The process.
     pub process: ChildProcess,
-    /// Its VM.
+    /// The VM, as listed by the platform.
     pub vm: VmRecord,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// The stand-in platform.
+    /// The fake platform.
     pub platform: ChildProcess,
     /// The platform's address.
     pub platform_address: SocketAddr,
@@ -68,13 +68,14 @@
     /// Routers.
     pub routers: Vec<Member>,
     settings: FleetSettings,
-    /// A key of its own: a router of another fleet that takes the port of one that died here must
-    /// not be taken for it.
+    /// Unique per fleet, so that a router of another fleet that reuses the port of a dead router
+    /// is not mistaken for it.
     cell_key: String,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every router sees all of it.
+    /// Starts a fleet and waits until every router sees all members and has read the
+    /// configuration.
     pub async fn start(settings: FleetSettings) -> Self {
         let mut fleet = Self::start_platform(settings.clone()).await;
         for index in 0..settings.engines {
@@ -93,12 +94,14 @@
         fleet.publish().await;
         fleet.wait_settled().await;
         fleet
-            .wait_status("a configuration read", |status| status.config_known)
+            .wait_status("a configuration on every router", |status| {
+                status.config_known
+            })
             .await;
         fleet
     }
 
-    /// Starts the platform alone; routers and servers are added one by one.
+    /// Starts only the platform; routers and servers are added afterwards.
     pub async fn start_platform(settings: FleetSettings) -> Self {
         let (platform, platform_address) = start_fake("platform", &[]).await;
         Self {
@@ -110,32 +113,33 @@
             cell_key: format!(
                 "cell-key-of-the-tests-{}-{}",
                 std::process::id(),
-                FLEETS.fetch_add(1, Ordering::Relaxed)
+                FLEET_COUNT.fetch_add(1, Ordering::Relaxed)
             ),
         }
     }
 
-    /// The callers' URL of a router.
+    /// The URL of a router for callers.
     pub fn caller_url(&self, router: usize) -> String {
         format!("http://{}", self.routers[router].vm.address)
     }
 
-    /// The operators' URL of a router.
+    /// The URL of a router for operators.
     pub fn operator_url(&self, router: usize) -> String {
         match &self.routers[router].vm.role {
             VmRole::Router {
                 operator_address, ..
             } => format!("http://{operator_address}"),
-            VmRole::Server { .. } => unreachable!("routers are routers"),
+            VmRole::Server { .. } => unreachable!("`routers` holds routers only"),
         }
     }
 
-    /// An operators' client of a router.
+    /// A client of a router's operator interface.
     pub fn operator(&self, router: usize) -> OperatorClient {
         OperatorClient::new(&self.operator_url(router), OPERATOR_KEY, 10_000)
     }
 
-    /// Applies the test customer's contract and waits until it is in force everywhere.
+    /// Applies a contract on the first router, waits until it is in force on all routers and
+    /// returns the version that it made.
     pub async fn apply_contract(&self, contract_toml: &str, seen_version: u64) -> u64 {
         let request = ApplyContract {
             change_id: format!("change-after-{seen_version}"),
@@ -149,16 +153,16 @@
             .await
             .expect("the router answers");
         let ChangeReply::Accepted { version } = reply else {
-            panic!("the contract is not accepted: {reply:?}");
+            panic!("the contract was not accepted: {reply:?}");
         };
-        self.wait_status("the contract in force", |status| {
+        self.wait_status("the contract in force on every router", |status| {
             status.config_version >= version
         })
         .await;
         version
     }
 
-    /// Sets the faults of a stand-in.
+    /// Sets the faults that a fake injects.
     pub async fn set_faults<Faults>(&self, address: SocketAddr, faults: &Faults)
     where
         Faults: Serialize,
@@ -166,7 +170,7 @@
         post_json(&format!("http://{address}/fake/faults"), faults).await;
     }
 
-    /// Starts another server and publishes it.
+    /// Starts another server, which [`Self::publish`] then adds to the list of VMs.
     pub async fn add_server(&mut self, kind: &str, pool: &str, pool_kind: PoolKind, index: usize) {
         let mut flags = vec![format!("--incarnation={}", index + 1)];
         if kind == "engine" {
@@ -186,7 +190,7 @@
         self.servers.push(Member { process, vm });
     }
 
-    /// Kills a server and starts it again at its address as another incarnation.
+    /// Kills a server and restarts it at the same address with another incarnation.
     pub async fn restart_server(&mut self, server: usize, incarnation: u64) {
         let address = self.servers[server].vm.address;
         let name = self.servers[server].vm.name.clone();
@@ -203,19 +207,21 @@
         self.servers[server].process = process;
     }
 
-    /// Starts a router under a name.
+    /// Starts a router with the given name in the zone of `index`.
     pub async fn add_router(&mut self, name: &str, index: usize) {
         self.add_router_with(name, index, &[]).await;
     }
 
-    /// Starts a router under a name, with further flags of its own.
-    pub async fn add_router_with(&mut self, name: &str, index: usize, more: &[String]) {
-        let free = SocketAddr::from(([127, 0, 0, 1], 0));
-        let member = self.start_router(name, index, [free; 3], more).await;
+    /// Starts a router like [`Self::add_router`], with additional flags.
+    pub async fn add_router_with(&mut self, name: &str, index: usize, extra_flags: &[String]) {
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let member = self
+            .start_router(name, index, [any_port; 3], extra_flags)
+            .await;
         self.routers.push(member);
     }
 
-    /// Kills a router and starts it again under its name and addresses.
+    /// Kills a router and restarts it with the same name and addresses.
     pub async fn restart_router(&mut self, index: usize) {
         self.routers[index].process.kill().await;
         let vm = self.routers[index].vm.clone();
@@ -224,19 +230,19 @@
             operator_address,
         } = vm.role
         else {
-            unreachable!("routers are routers");
+            unreachable!("`routers` holds routers only");
         };
         let addresses = [vm.address, operator_address, peer_address];
         self.routers[index] = self.start_router(&vm.name, index, addresses, &[]).await;
     }
 
-    /// Starts a router for callers, operators and peers at these addresses.
+    /// Starts a router that listens for callers, operators and peers at `addresses`, in this order.
     async fn start_router(
         &self,
         name: &str,
         index: usize,
         addresses: [SocketAddr; 3],
-        more: &[String],
+        extra_flags: &[String],
     ) -> Member {
         let [callers, operators, peers] = addresses;
         let mut flags = vec![
@@ -251,23 +257,23 @@
             format!("--entry-ttl-ms={}", self.settings.entry_ttl_ms),
         ];
         flags.extend(self.settings.router_flags.clone());
-        flags.extend_from_slice(more);
+        flags.extend_from_slice(extra_flags);
         let process = ChildProcess::start("sapphiretrackd", &flags);
         let line = process.wait_line("event=\"100\"").await;
         let vm = VmRecord {
             name: name.to_owned(),
             zone: zone(index),
-            address: field(&line, "callers"),
+            address: address_field(&line, "callers"),
             role: VmRole::Router {
-                peer_address: field(&line, "peers"),
-                operator_address: field(&line, "operators"),
+                peer_address: address_field(&line, "peers"),
+                operator_address: address_field(&line, "operators"),
             },
             state: VmState::Live,
         };
         Member { process, vm }
     }
 
-    /// Gives the platform the list of VMs as it stands.
+    /// Replaces the platform's list of VMs by the current members.
     pub async fn publish(&self) {
         let members = self.servers.iter().chain(&self.routers);
         let list = VmList {
@@ -277,7 +283,7 @@
     }
 }
 
-/// The contract of the test customer.
+/// The contract of the test customer with a rate limit in requests per second, as TOML.
 pub fn contract_toml(requests_per_s: u32) -> String {
     format!(
         r#"customer = "teranga"
@@ -314,7 +320,7 @@
     let address = line
         .trim_start_matches("listening ")
         .parse()
-        .expect("an address");
+        .expect("the line ends with an address");
     (process, address)
 }
 
@@ -322,9 +328,12 @@
     format!("zone-{}", index % 3)
 }
 
-fn field(line: &str, name: &str) -> SocketAddr {
+fn address_field(line: &str, name: &str) -> SocketAddr {
     let marker = format!(" {name}=\"");
-    let start = line.find(&marker).expect("the field is there") + marker.len();
-    let end = line[start..].find('"').expect("the field ends") + start;
-    line[start..end].parse().expect("an address")
+    let start = line.find(&marker).expect("the line has the field") + marker.len();
+    let end = line[start..]
+        .find('"')
+        .expect("the field ends with a quote")
+        + start;
+    line[start..end].parse().expect("the field is an address")
 }
--- a/crates/sapphiretrack-tests/src/history.rs
+++ b/crates/sapphiretrack-tests/src/history.rs
@@ -1,4 +1,4 @@
-//! Histories of concurrent operations, and their check for linearizability by a library.
+//! Records histories of concurrent operations and checks them for linearizability.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,27 +7,27 @@
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::specifications::Specification;
 
-/// Records calls and responses in the order in which they are seen; clones share the record.
+/// Records calls and responses in the order in which they happen; clones share the record.
 ///
-/// Each operation counts as a process of its own, so that one whose outcome stays unknown does
-/// not block the next of the same client.
+/// Each operation counts as a separate process, so that an operation whose outcome stays unknown
+/// does not block later operations of the same client.
 #[derive(Clone, Debug)]
 pub struct HistoryRecorder<Operation> {
     record: Arc<Mutex<Record<Operation>>>,
 }
 
-/// What was recorded so far.
+/// The calls and responses so far, and the operations without a response.
 #[derive(Debug)]
 struct Record<Operation> {
     next_call: usize,
     actions: Vec<(usize, Action<Operation>)>,
-    open: BTreeMap<usize, Operation>,
+    pending: BTreeMap<usize, Operation>,
 }
 
-/// An operation under way; dropping it leaves its outcome unknown.
+/// An operation without a response yet; dropping it leaves its outcome unknown.
 #[derive(Debug)]
-#[must_use = "an operation that is not answered counts as unknown"]
-pub struct OpenCall<Operation> {
+#[must_use = "an operation without a response has an unknown outcome"]
+pub struct PendingCall<Operation> {
     record: Arc<Mutex<Record<Operation>>>,
     call: usize,
 }
@@ -36,50 +36,51 @@
 where
     Operation: Clone,
 {
-    /// An empty record.
+    /// Creates an empty record.
     pub fn new() -> Self {
         let record = Record {
             next_call: 0,
             actions: Vec::new(),
-            open: BTreeMap::new(),
+            pending: BTreeMap::new(),
         };
         Self {
             record: Arc::new(Mutex::new(record)),
         }
     }
 
-    /// Notes that an operation is called now; its result is still open.
-    pub fn call(&self, operation: Operation) -> OpenCall<Operation> {
+    /// Records the call of an operation whose result is not known yet.
+    pub fn call(&self, operation: Operation) -> PendingCall<Operation> {
         let mut record = lock(&self.record);
         let call = record.next_call;
         record.next_call += 1;
         record.actions.push((call, Action::Call(operation.clone())));
-        record.open.insert(call, operation);
-        OpenCall {
+        record.pending.insert(call, operation);
+        PendingCall {
             record: self.record.clone(),
             call,
         }
     }
 
-    /// Whether some order of the operations, each between its call and its response, explains all
-    /// results.
+    /// Whether the history is linearizable: some order of the operations, each placed between its
+    /// call and its response, explains all results.
     ///
-    /// An operation without a response is taken to respond after all others with the operation as
-    /// it was called: the specification has to accept that in every state, taking effect or not.
+    /// An operation without a response is assumed to respond after all others, with the operation
+    /// as it was called. The specification must accept that in every state, whether the operation
+    /// took effect or not.
     pub fn is_linearizable<Spec>(&self) -> bool
     where
         Spec: Specification<Operation = Operation>,
     {
         let record = lock(&self.record);
         let mut actions = record.actions.clone();
-        for (call, operation) in &record.open {
+        for (call, operation) in &record.pending {
             actions.push((*call, Action::Response(operation.clone())));
         }
         drop(record);
         actions.is_empty() || WGLChecker::<Spec>::is_linearizable(History::from_actions(actions))
     }
 
-    /// How many operations were called and not withdrawn.
+    /// The number of operations that were called and not withdrawn.
     pub fn len(&self) -> usize {
         let record = lock(&self.record);
         let calls = record.actions.iter();
@@ -88,7 +89,7 @@
             .count()
     }
 
-    /// Whether nothing was recorded.
+    /// Whether no operation was recorded, or all were withdrawn.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -103,20 +104,20 @@
     }
 }
 
-impl<Operation> OpenCall<Operation> {
-    /// Notes the operation with its result.
+impl<Operation> PendingCall<Operation> {
+    /// Records the response: the operation with its result.
     pub fn respond(self, operation: Operation) {
         let mut record = lock(&self.record);
-        record.open.remove(&self.call);
+        record.pending.remove(&self.call);
         record
             .actions
             .push((self.call, Action::Response(operation)));
     }
 
-    /// Takes the operation out of the record: it certainly had no effect and no result.
+    /// Removes the operation from the record, as it certainly had no effect and no result.
     pub fn withdraw(self) {
         let mut record = lock(&self.record);
-        record.open.remove(&self.call);
+        record.pending.remove(&self.call);
         record.actions.retain(|(call, _)| *call != self.call);
     }
 }
--- a/crates/sapphiretrack-tests/src/lib.rs
+++ b/crates/sapphiretrack-tests/src/lib.rs
@@ -1,4 +1,4 @@
-//! What tests of the whole share: a fleet of separate processes on loopback.
+//! Shared code of the system tests, which run a fleet of separate processes on loopback.
 
 mod fleet;
 mod history;
@@ -8,7 +8,7 @@
 mod settle;
 
 pub use fleet::{CALLER_KEY, Fleet, FleetSettings, Member, OPERATOR_KEY, contract_toml};
-pub use history::{HistoryRecorder, OpenCall};
+pub use history::{HistoryRecorder, PendingCall};
 pub use http_call::{get_json, get_text, post_json};
-pub use process::{ChildProcess, binary};
-pub use recorder::{Recorder, redact};
+pub use process::{ChildProcess, program_path};
+pub use recorder::{SessionRecorder, redact};
--- a/crates/sapphiretrack-tests/src/process.rs
+++ b/crates/sapphiretrack-tests/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of a test; they end with the test.
+//! Child processes of a test, which are killed when the test ends.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -9,18 +9,18 @@
 use tokio::process::{Child, Command};
 use tokio::task::JoinHandle;
 
-/// How long a process may take to say where it listens.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// How long [`ChildProcess::wait_line`] waits, in particular for a starting process to listen.
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The path of a program of this workspace.
+/// Returns the path of a program of this workspace.
 ///
 /// # Panics
 ///
-/// If it was not built: `cargo build --workspace --bins` builds it.
-pub fn binary(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("the program has a path");
-    // A test lies one folder below the programs.
-    let path = own
+/// If the program is not built; `cargo build --workspace --bins` builds it.
+pub fn program_path(name: &str) -> PathBuf {
+    let test_program = std::env::current_exe().expect("the path of the test program is known");
+    // Test programs are in a subfolder of the folder with the programs.
+    let path = test_program
         .ancestors()
         .skip(1)
         .take(2)
@@ -32,7 +32,7 @@
     path
 }
 
-/// A running program, whose output is kept.
+/// A running program and its output lines.
 pub struct ChildProcess {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
@@ -40,9 +40,9 @@
 }
 
 impl ChildProcess {
-    /// Starts a program with arguments.
+    /// Starts a program of this workspace with an empty environment.
     pub fn start(name: &str, arguments: &[String]) -> Self {
-        let mut child = Command::new(binary(name))
+        let mut child = Command::new(program_path(name))
             .args(arguments)
             .env_clear()
             .stdin(Stdio::null())
@@ -53,8 +53,8 @@
             .expect("the program starts");
         let lines = Arc::new(Mutex::new(Vec::new()));
         let readers = vec![
-            keep_lines(child.stdout.take().expect("piped"), lines.clone()),
-            keep_lines(child.stderr.take().expect("piped"), lines.clone()),
+            collect_lines(child.stdout.take().expect("piped"), lines.clone()),
+            collect_lines(child.stderr.take().expect("piped"), lines.clone()),
         ];
         Self {
             child,
@@ -63,12 +63,14 @@
         }
     }
 
-    /// The process id.
+    /// The process id of a process that has not been waited for.
     pub fn id(&self) -> u32 {
-        self.child.id().expect("the process runs")
+        self.child
+            .id()
+            .expect("the process has not been waited for")
     }
 
-    /// Sends a signal by its name, like `TERM`, `STOP` or `CONT`.
+    /// Sends a signal by its name, such as `TERM`, `STOP` or `CONT`.
     pub async fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args([format!("-{name}"), self.id().to_string()])
@@ -78,12 +80,12 @@
         assert!(status.success(), "kill -{name} failed");
     }
 
-    /// Kills the process at once.
+    /// Kills the process with `SIGKILL` and waits for its end.
     pub async fn kill(&mut self) {
         drop(self.child.kill().await);
     }
 
-    /// Waits for the end and returns the exit code.
+    /// Waits for the end of the process and returns its exit code, or none if a signal ended it.
     pub async fn wait(&mut self) -> Option<i32> {
         self.child
             .wait()
@@ -92,10 +94,10 @@
             .code()
     }
 
-    /// All output lines of a process that has ended.
+    /// Waits for the end of the output and returns all lines.
     pub async fn wait_lines(&mut self) -> Vec<String> {
         for reader in self.readers.drain(..) {
-            reader.await.expect("the reader ends");
+            reader.await.expect("the reader does not panic");
         }
         self.lines()
     }
@@ -108,9 +110,13 @@
             .clone()
     }
 
-    /// Waits for a line that holds `text`.
+    /// Waits for a line that contains `text` and returns it.
+    ///
+    /// # Panics
+    ///
+    /// If no such line comes within 20 s.
     pub async fn wait_line(&self, text: &str) -> String {
-        let found = tokio::time::timeout(START_LIMIT, async {
+        let found = tokio::time::timeout(LINE_TIMEOUT, async {
             loop {
                 if let Some(line) = self.lines().into_iter().find(|line| line.contains(text)) {
                     return line;
@@ -121,14 +127,14 @@
         match found.await {
             Ok(line) => line,
             Err(_) => panic!(
-                "no line with {text:?} came; output:\n{}",
+                "no line contains {text:?} after {LINE_TIMEOUT:?}; output:\n{}",
                 self.lines().join("\n")
             ),
         }
     }
 }
 
-fn keep_lines<Output>(output: Output, lines: Arc<Mutex<Vec<String>>>) -> JoinHandle<()>
+fn collect_lines<Output>(output: Output, lines: Arc<Mutex<Vec<String>>>) -> JoinHandle<()>
 where
     Output: AsyncRead + Send + Unpin + 'static,
 {
--- a/crates/sapphiretrack-tests/src/recorder.rs
+++ b/crates/sapphiretrack-tests/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Records a session of HTTP requests as text, for golden files.
+//! Records a session of HTTP requests and answers as text, for golden files.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -7,26 +7,26 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
-/// The headers of answers that a session shows.
-const SHOWN_HEADERS: [&str; 4] = [
+/// The response headers that are recorded.
+const RECORDED_HEADERS: [&str; 4] = [
     "content-type",
     "sapphiretrack-outcome",
     "sapphiretrack-warm",
     "retry-after",
 ];
-/// A header value longer than this is shown by its length.
-const LONGEST_SHOWN: usize = 80;
+/// Request header values with more bytes are recorded by their length.
+const MAX_HEADER_BYTES: usize = 80;
 
-/// Sends requests and keeps what was said.
-pub struct Recorder {
+/// Sends requests and records them with their answers.
+pub struct SessionRecorder {
     url: String,
     http: Client<HttpConnector, Full<Bytes>>,
     text: String,
     last_headers: HeaderMap,
 }
 
-impl Recorder {
-    /// A recorder of a session with the router at `url`.
+impl SessionRecorder {
+    /// Creates a recorder of a session with the router at `url`.
     pub fn new(url: &str) -> Self {
         Self {
             url: url.to_owned(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Adds a line that says what comes.
+    /// Adds a line that describes the next requests.
     pub fn note(&mut self, text: &str) {
         self.text.push_str(&format!("# {text}\n\n"));
     }
@@ -55,11 +55,11 @@
             .uri(format!("{}{path}", self.url));
         for (name, value) in headers {
             request = request.header(*name, *value);
-            let shown = match value.len() {
-                0..=LONGEST_SHOWN => (*value).to_owned(),
+            let recorded = match value.len() {
+                0..=MAX_HEADER_BYTES => (*value).to_owned(),
                 length => format!("({length} bytes)"),
             };
-            self.text.push_str(&format!("> {name}: {shown}\n"));
+            self.text.push_str(&format!("> {name}: {recorded}\n"));
         }
         match body.len() {
             0 => {}
@@ -68,7 +68,7 @@
                 .text
                 .push_str(&format!("> {}\n", String::from_utf8_lossy(&body))),
         }
-        let request = request.body(Full::new(body)).expect("the request is good");
+        let request = request.body(Full::new(body)).expect("the request is valid");
         let response = self
             .http
             .request(request)
@@ -77,7 +77,7 @@
         self.text
             .push_str(&format!("< {}\n", response.status().as_u16()));
         self.last_headers = response.headers().clone();
-        for name in SHOWN_HEADERS {
+        for name in RECORDED_HEADERS {
             if let Some(value) = response.headers().get(name) {
                 let value = value.to_str().unwrap_or_default();
                 self.text.push_str(&format!("< {name}: {value}\n"));
@@ -87,7 +87,7 @@
             .into_body()
             .collect()
             .await
-            .expect("the answer is whole")
+            .expect("the answer is complete")
             .to_bytes();
         let body = String::from_utf8_lossy(&body).into_owned();
         for line in body.lines().filter(|line| !line.is_empty()) {
@@ -97,7 +97,7 @@
         self.text = redact(&self.text);
     }
 
-    /// A header of the last answer.
+    /// The value of a header of the last answer, or an empty string.
     pub fn last_header(&self, name: &str) -> String {
         let value = self
             .last_headers
@@ -106,13 +106,14 @@
         value.unwrap_or_default().to_owned()
     }
 
-    /// The session so far.
+    /// The text of the session so far.
     pub fn text(&self) -> &str {
         &self.text
     }
 }
 
-/// Replaces what differs from run to run: ports, ids, warm values, times to be in force.
+/// Replaces values that differ between runs: ports, ids, warm values and the times after which
+/// changes came into force.
 pub fn redact(text: &str) -> String {
     let mut redacted = String::new();
     let mut rest = text;
@@ -161,7 +162,8 @@
     redacted
 }
 
-/// A warm value names an incarnation, which is only known after a first load report.
+/// Replaces a warm value: it contains an incarnation, which the router knows only after the first
+/// load report of the server.
 fn redact_warm(line: &str) -> String {
     const MARKER: &str = "sapphiretrack-warm: ";
     match line.split_once(MARKER) {
--- a/crates/sapphiretrack-tests/src/settle.rs
+++ b/crates/sapphiretrack-tests/src/settle.rs
@@ -1,4 +1,4 @@
-//! Waiting until the routers of a fleet have seen a change.
+//! Waits until the routers of a fleet have seen a change.
 
 use std::time::Duration;
 
@@ -8,77 +8,81 @@
 
 use crate::Fleet;
 
-/// How long a fleet may take until all see all.
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
+/// How long the routers of a fleet may take to see a change.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Fleet {
     /// Waits until every router sees all routers and servers.
     pub async fn wait_settled(&self) {
-        assert!(self.settles().await, "the fleet is not seen by all");
+        assert!(
+            self.settles().await,
+            "not every router sees all members within {CONVERGENCE_TIMEOUT:?}"
+        );
         self.wait_configured().await;
     }
 
-    /// Waits until every router has seen the configuration, be it an empty one: before, it
-    /// cannot tell whether a key is wrong.
+    /// Waits until every router has read the configuration, even an empty one. Until then it
+    /// answers 503, as it cannot tell whether an access key is wrong.
     async fn wait_configured(&self) {
         let options = RequestOptions {
             key: String::from("nobody's key"),
             ..RequestOptions::default()
         };
-        let waited = tokio::time::timeout(SETTLE_LIMIT, async {
+        let waited = tokio::time::timeout(CONVERGENCE_TIMEOUT, async {
             for router in 0..self.routers.len() {
                 let url = self.caller_url(router);
                 let client = CallerClient::new();
-                let ask =
+                let probe =
                     || client.service(&url, http::Method::GET, "plant/x", Bytes::new(), &options);
-                while ask().await.is_ok_and(|answer| answer.status == 503) {
+                while probe().await.is_ok_and(|answer| answer.status == 503) {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
         });
         assert!(
             waited.await.is_ok(),
-            "no configuration within {SETTLE_LIMIT:?}"
+            "not every router has read the configuration within {CONVERGENCE_TIMEOUT:?}"
         );
     }
 
-    /// Whether every router comes to see all routers and servers.
+    /// Whether every router sees all routers and servers within the time limit.
     pub async fn settles(&self) -> bool {
-        self.comes_to(|status| self.is_seen(status, 0)).await
+        self.comes_to(|status| self.sees_fleet(status, 0)).await
     }
 
-    /// Waits until every router sees all members, and `others` routers that are no members.
-    pub async fn wait_settled_with(&self, others: usize) {
-        let what = "the fleet and others seen by all";
-        self.wait_status(what, |status| self.is_seen(status, others))
+    /// Waits until every router sees all members and `others` more routers, which are not members
+    /// of this fleet any more.
+    pub async fn wait_converged_with(&self, others: usize) {
+        let what = "all members and the other routers seen by every router";
+        self.wait_status(what, |status| self.sees_fleet(status, others))
             .await;
     }
 
-    /// Whether a router sees all members, and `others` routers that are no members.
-    fn is_seen(&self, status: &Status, others: usize) -> bool {
+    /// Whether a router that reports this status sees all members and `others` more routers.
+    fn sees_fleet(&self, status: &Status, others: usize) -> bool {
         let servers = status.servers.iter();
         let live = servers.filter(|server| server.state == "live").count();
         status.routers.len() == self.routers.len() + others && live == self.servers.len()
     }
 
     /// Waits until the status of every router satisfies a condition.
-    pub async fn wait_status<Holds>(&self, what: &str, holds: Holds)
+    pub async fn wait_status<Condition>(&self, what: &str, condition: Condition)
     where
-        Holds: Fn(&Status) -> bool,
+        Condition: Fn(&Status) -> bool,
     {
         assert!(
-            self.comes_to(holds).await,
-            "{what}: not within {SETTLE_LIMIT:?}"
+            self.comes_to(condition).await,
+            "{what}: not within {CONVERGENCE_TIMEOUT:?}"
         );
     }
 
-    /// Whether the status of every router comes to satisfy a condition.
-    pub async fn comes_to<Holds>(&self, holds: Holds) -> bool
+    /// Whether the status of every router satisfies a condition within the time limit.
+    pub async fn comes_to<Condition>(&self, condition: Condition) -> bool
     where
-        Holds: Fn(&Status) -> bool,
+        Condition: Fn(&Status) -> bool,
     {
         for router in 0..self.routers.len() {
-            if !self.router_comes_to(router, &holds).await {
+            if !self.router_reaches(router, &condition).await {
                 return false;
             }
         }
@@ -86,23 +90,27 @@
     }
 
     /// Waits until the status of one router satisfies a condition.
-    pub async fn wait_status_of<Holds>(&self, router: usize, what: &str, holds: Holds)
+    pub async fn wait_status_of<Condition>(&self, router: usize, what: &str, condition: Condition)
     where
-        Holds: Fn(&Status) -> bool,
+        Condition: Fn(&Status) -> bool,
     {
         assert!(
-            self.router_comes_to(router, &holds).await,
-            "{what}: not within {SETTLE_LIMIT:?}"
+            self.router_reaches(router, &condition).await,
+            "{what}: not within {CONVERGENCE_TIMEOUT:?}"
         );
     }
 
-    async fn router_comes_to<Holds>(&self, router: usize, holds: &Holds) -> bool
+    async fn router_reaches<Condition>(&self, router: usize, condition: &Condition) -> bool
     where
-        Holds: Fn(&Status) -> bool,
+        Condition: Fn(&Status) -> bool,
     {
         let operator = self.operator(router);
-        let waited = tokio::time::timeout(SETTLE_LIMIT, async {
-            while !operator.status().await.is_ok_and(|status| holds(&status)) {
+        let waited = tokio::time::timeout(CONVERGENCE_TIMEOUT, async {
+            while !operator
+                .status()
+                .await
+                .is_ok_and(|status| condition(&status))
+            {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         });
--- a/crates/sapphiretrack-tests/tests/membership.rs
+++ b/crates/sapphiretrack-tests/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Routers and backend servers that come, leave, stand still and are cut off, as processes.
+//! Routers and backend servers, as processes, that join, leave, are paused or become unreachable.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -12,7 +12,7 @@
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml, get_json, post_json};
 use tokio::task::JoinHandle;
 
-/// Long enough for several reads of the list and several heartbeats.
+/// Long enough for several reads of the list of VMs and several heartbeats.
 const SEVERAL_PERIODS: Duration = Duration::from_secs(4);
 
 fn options(chat: &str) -> RequestOptions {
@@ -41,8 +41,8 @@
     answer.expect("the router answers")
 }
 
-/// Chats until one is answered whole; refusals in between are final and said as not run.
-async fn chat_until_whole(url: &str, name: &str) {
+/// Sends a chat until it is answered completely; refusals before that must be reported as not run.
+async fn chat_until_complete(url: &str, name: &str) {
     loop {
         let answer = chat(url, name).await;
         if answer.outcome == "complete" {
@@ -53,15 +53,15 @@
     }
 }
 
-async fn started(fleet: &Fleet, server: usize) -> u64 {
+async fn started_requests(fleet: &Fleet, server: usize) -> u64 {
     let url = format!("http://{}/fake/started", fleet.servers[server].vm.address);
     get_json(&url).await
 }
 
-/// Chats through the lookups, like callers do, until it is told to stop.
-struct Load {
+/// Callers that find routers by lookups and send chats until they are told to stop.
+struct BackgroundLoad {
     stop: Arc<AtomicBool>,
-    whole: Arc<AtomicU32>,
+    completed: Arc<AtomicU32>,
     callers: Vec<JoinHandle<LoadCount>>,
 }
 
@@ -71,38 +71,41 @@
     cut: Vec<String>,
 }
 
-impl Load {
+impl BackgroundLoad {
     fn start(callers: usize, entries: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let whole = Arc::new(AtomicU32::new(0));
+        let completed = Arc::new(AtomicU32::new(0));
         let callers = (0..callers).map(|index| {
-            let (stop, whole) = (stop.clone(), whole.clone());
-            tokio::spawn(run_caller(index, entries.to_vec(), stop, whole))
+            let (stop, completed) = (stop.clone(), completed.clone());
+            tokio::spawn(run_caller(index, entries.to_vec(), stop, completed))
         });
         Self {
             callers: callers.collect(),
             stop,
-            whole,
+            completed,
         }
     }
 
-    /// Waits for some more whole answers, so that each step meets requests in progress.
+    /// Waits for some more complete answers, so that requests are in progress at each step.
     async fn wait_more(&self) {
         const MORE_ANSWERS: u32 = 20;
-        let enough = self.whole.load(Ordering::Relaxed) + MORE_ANSWERS;
+        let enough = self.completed.load(Ordering::Relaxed) + MORE_ANSWERS;
         let waited = tokio::time::timeout(Duration::from_secs(60), async {
-            while self.whole.load(Ordering::Relaxed) < enough {
+            while self.completed.load(Ordering::Relaxed) < enough {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         });
-        assert!(waited.await.is_ok(), "callers get no more answers");
+        assert!(
+            waited.await.is_ok(),
+            "callers do not get {MORE_ANSWERS} more answers"
+        );
     }
 
     async fn end(self) -> LoadCount {
         self.stop.store(true, Ordering::Relaxed);
         let mut all = LoadCount::default();
         for caller in self.callers {
-            let count = caller.await.expect("the caller ends");
+            let count = caller.await.expect("the caller does not panic");
             all.refused += count.refused;
             all.cut.extend(count.cut);
         }
@@ -114,7 +117,7 @@
     index: usize,
     mut entries: Vec<String>,
     stop: Arc<AtomicBool>,
-    whole: Arc<AtomicU32>,
+    completed: Arc<AtomicU32>,
 ) -> LoadCount {
     let client = CallerClient::new();
     let mut count = LoadCount::default();
@@ -133,7 +136,7 @@
             .iter()
             .map(|address| format!("http://{address}"))
             .collect();
-        // The time to live of a lookup in these tests.
+        // Looks routers up again after the time to live of the lookup.
         let kept_until = tokio::time::Instant::now() + Duration::from_millis(entry.ttl_ms);
         while tokio::time::Instant::now() < kept_until {
             let name = format!("chat-{index}");
@@ -142,7 +145,7 @@
                 .await;
             match answer {
                 Ok(answer) if answer.outcome == "complete" => {
-                    whole.fetch_add(1, Ordering::Relaxed);
+                    completed.fetch_add(1, Ordering::Relaxed);
                 }
                 Ok(answer) if answer.outcome == "not-run" => count.refused += 1,
                 Ok(answer) => count.cut.push(format!("{answer:?}")),
@@ -154,7 +157,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_empty_list_after_a_platform_restart_empties_no_pool() {
+async fn an_empty_list_after_a_platform_restart_removes_no_servers() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     fleet.apply_contract(&contract_toml(1_000), 0).await;
     let url = format!("http://{}/fake/vms", fleet.platform_address);
@@ -169,7 +172,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refusal_met_by_one_request_closes_the_server_on_every_router() {
+async fn a_refusal_of_one_request_marks_the_server_as_leaving_on_every_router() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     fleet.apply_contract(&contract_toml(1_000), 0).await;
     let faults = EngineFaults {
@@ -177,48 +180,52 @@
         ..EngineFaults::default()
     };
     fleet.set_faults(fleet.servers[0].vm.address, &faults).await;
-    // Chats find one of two engines each; some meet the refusal and are answered by the other.
+    // Each chat is sent to one of two engines; those that are refused are answered by the other.
     for number in 0..16 {
         let answer = chat(&fleet.caller_url(0), &format!("chat-{number}")).await;
         assert_eq!(answer.outcome, "complete", "{answer:?}");
     }
     let name = fleet.servers[0].vm.name.clone();
     fleet
-        .wait_status("the leaving engine closed", |status| {
+        .wait_status("the engine marked as leaving", |status| {
             status
                 .servers
                 .iter()
                 .any(|server| server.name == name && server.state == "leaving")
         })
         .await;
-    // The list and its own reports go on saying live: it stays closed.
+    // The engine stays marked as leaving, although the list and its own reports say it is live.
     fleet
         .set_faults(fleet.servers[0].vm.address, &EngineFaults::default())
         .await;
     fleet.publish().await;
     tokio::time::sleep(SEVERAL_PERIODS).await;
-    let before = started(&fleet, 0).await;
+    let before = started_requests(&fleet, 0).await;
     for number in 0..16 {
         let router = number % 3;
         let answer = chat(&fleet.caller_url(router), &format!("later-{number}")).await;
         assert_eq!(answer.outcome, "complete", "{answer:?}");
     }
     assert_eq!(
-        started(&fleet, 0).await,
+        started_requests(&fleet, 0).await,
         before,
         "a leaving engine got new work"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_that_stood_still_distrusts_its_view_and_joins_again() {
+async fn a_router_that_was_paused_notices_it_and_rejoins() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     fleet.apply_contract(&contract_toml(1_000), 0).await;
     let frozen = &fleet.routers[1];
     frozen.process.signal("STOP").await;
     for router in [0, 2] {
         loop {
-            let status = fleet.operator(router).status().await.expect("a status");
+            let status = fleet
+                .operator(router)
+                .status()
+                .await
+                .expect("the router answers");
             if status
                 .routers
                 .iter()
@@ -228,13 +235,13 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        chat_until_whole(&fleet.caller_url(router), "meanwhile").await;
+        chat_until_complete(&fleet.caller_url(router), "meanwhile").await;
     }
     frozen.process.signal("CONT").await;
     frozen.process.wait_line("event=\"220\"").await;
     fleet.wait_settled().await;
     for router in 0..3 {
-        chat_until_whole(&fleet.caller_url(router), "after").await;
+        chat_until_complete(&fleet.caller_url(router), "after").await;
     }
 }
 
@@ -248,7 +255,7 @@
     };
     fleet.set_faults(fleet.platform_address, &faults).await;
     let VmRole::Router { peer_address, .. } = fleet.routers[0].vm.role else {
-        panic!("a router is a router");
+        panic!("`routers` holds routers only");
     };
     let seeds = [format!("--peer-seeds={peer_address}")];
     let mut dead = fleet.routers.remove(1);
@@ -257,7 +264,7 @@
     fleet.add_router_with("router-9", 2, &seeds).await;
     fleet.wait_settled().await;
     for router in 0..4 {
-        chat_until_whole(&fleet.caller_url(router), "during").await;
+        chat_until_complete(&fleet.caller_url(router), "during").await;
     }
     fleet
         .set_faults(fleet.platform_address, &PlatformFaults::default())
@@ -267,7 +274,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn all_routers_are_restarted_one_by_one_under_load_and_no_request_is_cut() {
+async fn a_rolling_restart_of_all_routers_under_load_cuts_no_request() {
     let mut fleet = Fleet::start(FleetSettings {
         engines: 3,
         ..FleetSettings::default()
@@ -275,7 +282,7 @@
     .await;
     fleet.apply_contract(&contract_toml(10_000), 0).await;
     let entries: Vec<String> = (0..3).map(|router| fleet.caller_url(router)).collect();
-    let load = Load::start(4, &entries);
+    let load = BackgroundLoad::start(4, &entries);
     for index in 0..3 {
         let mut old = fleet.routers.remove(0);
         let name = old.vm.name.clone();
@@ -283,7 +290,7 @@
             .add_router_with(&format!("{name}-next"), index, &[])
             .await;
         fleet.publish().await;
-        fleet.wait_settled_with(1).await;
+        fleet.wait_converged_with(1).await;
         load.wait_more().await;
         old.process.signal("TERM").await;
         assert_eq!(old.process.wait().await, Some(0));
@@ -294,7 +301,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_availability_zone_is_lost_and_brought_back() {
+async fn an_availability_zone_is_lost_and_restored() {
     let mut fleet = Fleet::start(FleetSettings {
         engines: 3,
         ..FleetSettings::default()
@@ -319,9 +326,9 @@
         member.process.kill().await;
     }
     let (routers, live) = (fleet.routers.len(), fleet.servers.len());
-    // The list still shows all of the zone as live.
+    // The platform's list still shows all VMs of the zone as live.
     fleet
-        .wait_status("the loss noticed by all", |status| {
+        .wait_status("the loss noticed by every router", |status| {
             let open = status
                 .servers
                 .iter()
@@ -331,7 +338,7 @@
         })
         .await;
     for router in 0..routers {
-        chat_until_whole(&fleet.caller_url(router), "without the zone").await;
+        chat_until_complete(&fleet.caller_url(router), "without the zone").await;
     }
     fleet.add_router("router-1", 1).await;
     fleet
@@ -351,6 +358,6 @@
     fleet.publish().await;
     fleet.wait_settled().await;
     for router in 0..fleet.routers.len() {
-        chat_until_whole(&fleet.caller_url(router), "with the zone").await;
+        chat_until_complete(&fleet.caller_url(router), "with the zone").await;
     }
 }
--- a/crates/sapphiretrack-tests/tests/sessions.rs
+++ b/crates/sapphiretrack-tests/tests/sessions.rs
@@ -1,15 +1,16 @@
-//! Golden files of whole sessions: what a caller and an operator see, word for word.
+//! Golden files of whole sessions, as a caller and an operator see them.
 //!
-//! Only what differs from run to run is replaced: addresses, ids and the warm value.
+//! Values that differ between runs are replaced: ports, ids, warm values, the times after which
+//! changes came into force and the folder of temporary files.
 
 use bytes::Bytes;
 use http::Method;
 use sapphiretrack_tests::{
-    CALLER_KEY, ChildProcess, Fleet, FleetSettings, OPERATOR_KEY, Recorder, contract_toml,
+    CALLER_KEY, ChildProcess, Fleet, FleetSettings, OPERATOR_KEY, SessionRecorder, contract_toml,
 };
 
-/// One router and one server of each kind: nothing then depends on who is asked first.
-fn single() -> FleetSettings {
+/// One router and one server of each kind, so that the answers do not depend on placement.
+fn single_router() -> FleetSettings {
     FleetSettings {
         routers: 1,
         engines: 1,
@@ -40,9 +41,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_callers_session() {
-    let fleet = Fleet::start(single()).await;
+    let fleet = Fleet::start(single_router()).await;
     fleet.apply_contract(&contract_toml(1_000), 0).await;
-    let mut session = Recorder::new(&fleet.caller_url(0));
+    let mut session = SessionRecorder::new(&fleet.caller_url(0));
     let chat = "/v1/chat/completions";
     let key = format!("Bearer {CALLER_KEY}");
     let auth = ("authorization", key.as_str());
@@ -139,11 +140,11 @@
     let flags = vec![String::from("--max-body-bytes=1000")];
     let fleet = Fleet::start(FleetSettings {
         router_flags: flags,
-        ..single()
+        ..single_router()
     })
     .await;
     fleet.apply_contract(&contract_toml(1_000), 0).await;
-    let mut session = Recorder::new(&fleet.caller_url(0));
+    let mut session = SessionRecorder::new(&fleet.caller_url(0));
     let key = format!("Bearer {CALLER_KEY}");
     let auth = ("authorization", key.as_str());
     let body = Bytes::from(vec![b' '; 1_001]);
@@ -155,18 +156,18 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_operators_session() {
-    let fleet = Fleet::start(single()).await;
+    let fleet = Fleet::start(single_router()).await;
     let router = fleet.operator_url(0);
     let folder = std::env::temp_dir().join(format!("sapphiretrack-golden-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("the folder is made");
-    let file = |name: &str, text: &str| {
+    std::fs::create_dir_all(&folder).expect("the folder is created");
+    let write_file = |name: &str, text: &str| {
         let path = folder.join(name);
         std::fs::write(&path, text).expect("the file is written");
         path.display().to_string()
     };
-    let first = file("first.toml", &contract_toml(50));
-    let second = file("second.toml", &contract_toml(80));
-    let flawed = file(
+    let first = write_file("first.toml", &contract_toml(50));
+    let second = write_file("second.toml", &contract_toml(80));
+    let flawed = write_file(
         "flawed.toml",
         &contract_toml(80).replace("in_flight", "in_fligth"),
     );
@@ -208,7 +209,10 @@
             .collect();
         session.push_str(&format!("$ sapphiretrack {}\n", shown.join(" ")));
         let mut lines = tool.wait_lines().await;
-        lines.push(format!("exit code {}\n", code.expect("an exit code")));
+        lines.push(format!(
+            "exit code {}\n",
+            code.expect("the tool exits by itself")
+        ));
         session.push_str(&(lines.join("\n") + "\n"));
     }
     std::fs::remove_dir_all(&folder).expect("the folder is removed");
