--- a/crates/sapphiretrack-tests/tests/cancel.rs
+++ b/crates/sapphiretrack-tests/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! A caller that leaves takes its attempt with it.
+//! A caller that disconnects cancels its request on the engine.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml, get_json};
 use tokio::sync::mpsc;
 
-/// Below the time after which the router itself gives a silent stream up: 10 s at this deadline.
-const HANG_GUARD: Duration = Duration::from_secs(8);
-const DEADLINE: &str = "deadline_ms = 80000";
+/// Less than the 10 s after which the router itself abandons a silent stream at this deadline.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(8);
+const DEADLINE_SETTING: &str = "deadline_ms = 80000";
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_stops_when_the_caller_leaves() {
+async fn an_engine_stops_a_request_when_the_caller_disconnects() {
     let fleet = Fleet::start(FleetSettings {
         routers: 1,
         engines: 1,
@@ -22,17 +22,17 @@
         ..FleetSettings::default()
     })
     .await;
-    let contract = contract_toml(1_000).replace("deadline_ms = 20000", DEADLINE);
+    let contract = contract_toml(1_000).replace("deadline_ms = 20000", DEADLINE_SETTING);
     fleet.apply_contract(&contract, 0).await;
-    // The stream stands still after its first token: nothing that comes tells the router that
-    // its caller has left.
-    let still = EngineFaults {
+    // The stream stalls after its first token, so that the router does not notice the disconnect
+    // by failing to forward the next one.
+    let stall = EngineFaults {
         stalled_streams: 1,
         cut_after_tokens: 1,
         stall_ms: 600_000,
         ..EngineFaults::default()
     };
-    fleet.set_faults(fleet.servers[0].vm.address, &still).await;
+    fleet.set_faults(fleet.servers[0].vm.address, &stall).await;
     let url = fleet.caller_url(0);
     let engine = format!("http://{}/load", fleet.servers[0].vm.address);
     let body = serde_json::json!({
@@ -44,10 +44,11 @@
         key: CALLER_KEY.to_owned(),
         ..RequestOptions::default()
     };
-    let (client, (seen, mut first_token)) = (CallerClient::new(), mpsc::unbounded_channel());
+    let (client, (token_sender, mut first_token)) =
+        (CallerClient::new(), mpsc::unbounded_channel());
     {
         let chat = client.chat(&url, Bytes::from(body.to_string()), &options, |_| {
-            seen.send(()).expect("the test listens");
+            token_sender.send(()).expect("the test receives tokens");
         });
         let mut chat = std::pin::pin!(chat);
         tokio::select! {
@@ -60,7 +61,7 @@
         }
     }
     drop(client);
-    let stopped = tokio::time::timeout(HANG_GUARD, async {
+    let stopped = tokio::time::timeout(CANCEL_TIMEOUT, async {
         while get_json::<LoadReport>(&engine).await.running > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
--- a/crates/sapphiretrack-tests/tests/configuration.rs
+++ b/crates/sapphiretrack-tests/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Contracts on a fleet of processes: in force everywhere, never back, limits across routers.
+//! Contracts on a fleet of processes: changes come into force on all routers, no router returns to
+//! an older version, and limits hold across routers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -37,26 +38,29 @@
     }
 }
 
-async fn administer(fleet: &Fleet, what: &str) {
-    let url = format!("http://{}/fake/{what}", fleet.platform_address);
+async fn command_platform(fleet: &Fleet, command: &str) {
+    let url = format!("http://{}/fake/{command}", fleet.platform_address);
     post_json(&url, &()).await;
 }
 
-/// Notes every version that a router shows, until it is told to end.
-fn watch(operator: OperatorClient, end: Arc<AtomicBool>) -> tokio::task::JoinHandle<Vec<u64>> {
+/// Records every version that a router reports, until `stop` is set.
+fn record_versions(
+    operator: OperatorClient,
+    stop: Arc<AtomicBool>,
+) -> tokio::task::JoinHandle<Vec<u64>> {
     tokio::spawn(async move {
         let mut versions = Vec::new();
         loop {
-            // One more look after the end was asked for.
-            let last_look = end.load(Ordering::Acquire);
-            // A router that starts shows version 0: it refuses all work until it has a version.
+            // Polls once more after the stop was requested.
+            let is_last_poll = stop.load(Ordering::Acquire);
+            // A starting router reports version 0; it refuses all work until it has a version.
             if let Ok(status) = operator.status().await
                 && status.config_version > 0
                 && versions.last() != Some(&status.config_version)
             {
                 versions.push(status.config_version);
             }
-            if last_look {
+            if is_last_poll {
                 return versions;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -65,40 +69,44 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_router_goes_back_through_a_restored_platform_and_a_restart() {
+async fn no_router_returns_to_an_older_version_after_a_platform_restore_and_a_restart() {
     let mut fleet = Fleet::start(FleetSettings::default()).await;
-    let end = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let watchers: Vec<_> = (0..3)
-        .map(|router| watch(fleet.operator(router), end.clone()))
+        .map(|router| record_versions(fleet.operator(router), stop.clone()))
         .collect();
     let first = fleet.apply_contract(&contract_toml(1_000), 0).await;
-    administer(&fleet, "save").await;
+    command_platform(&fleet, "save").await;
     let second = fleet.apply_contract(&contract_toml(2_000), first).await;
     let third = fleet.apply_contract(&contract_toml(3_000), second).await;
 
-    administer(&fleet, "restore").await;
+    command_platform(&fleet, "restore").await;
     fleet.restart_router(1).await;
-    // The routers write back what the platform lost, under a version above all that they held.
+    // The routers write back what the platform lost, under a version above all that they had.
     fleet
         .wait_status("the configuration written back", |status| {
             status.config_version > third
         })
         .await;
-    let shown = fleet.operator(0).show("teranga").await.expect("a contract");
+    let shown = fleet
+        .operator(0)
+        .show("teranga")
+        .await
+        .expect("the router knows the contract");
     assert_eq!(shown.version, third);
     assert!(shown.contract_toml.contains("requests_per_s = 3000"));
     let last = fleet.apply_contract(&contract_toml(4_000), third).await;
 
-    end.store(true, Ordering::Release);
+    stop.store(true, Ordering::Release);
     for watcher in watchers {
-        let versions = watcher.await.expect("the watcher ends");
+        let versions = watcher.await.expect("the watcher does not panic");
         assert!(versions.is_sorted(), "a router went back: {versions:?}");
         assert_eq!(versions.last(), Some(&last), "{versions:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_is_in_force_everywhere_though_the_platform_goes_down_after_the_accept() {
+async fn a_change_comes_into_force_everywhere_even_if_the_platform_fails_after_accepting_it() {
     let mut fleet = Fleet::start(FleetSettings::default()).await;
     let first = fleet.apply_contract(&contract_toml(1_000), 0).await;
     let request = ApplyContract {
@@ -107,7 +115,11 @@
         seen_version: first,
         contract_toml: contract_toml(2_000),
     };
-    let reply = fleet.operator(2).apply(&request).await.expect("an answer");
+    let reply = fleet
+        .operator(2)
+        .apply(&request)
+        .await
+        .expect("the router answers");
     fleet.set_faults(fleet.platform_address, &down()).await;
     let ChangeReply::Accepted { version } = reply else {
         panic!("not accepted: {reply:?}");
@@ -117,7 +129,7 @@
             status.config_version == version
         })
         .await;
-    // A router that starts now has only its peers to ask.
+    // A router that starts now can get the configuration only from its peers.
     fleet.restart_router(0).await;
     fleet
         .wait_status("in force on the restarted router", |status| {
@@ -125,13 +137,13 @@
         })
         .await;
     let change = fleet.operator(0).outcome_of("just-in-time").await;
-    let change = change.expect("an answer");
+    let change = change.expect("the router answers");
     assert!(matches!(change, ChangeReply::Unknown { .. }), "{change:?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_that_slept_through_changes_hands_out_no_older_version() {
-    // Long enough that the router which is awake speaks in time on a busy machine too.
+async fn a_paused_router_that_missed_changes_does_not_spread_an_older_version() {
+    // Long enough that the running router is heard in time, even on a busy machine.
     let settings = FleetSettings {
         router_flags: vec![
             String::from("--dead-after-ms=8000"),
@@ -140,9 +152,9 @@
         ..FleetSettings::default()
     };
     let mut fleet = Fleet::start(settings).await;
-    let end = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let watchers: Vec<_> = (0..3)
-        .map(|router| watch(fleet.operator(router), end.clone()))
+        .map(|router| record_versions(fleet.operator(router), stop.clone()))
         .collect();
     let mut version = fleet.apply_contract(&contract_toml(1_000), 0).await;
     fleet.routers[2].process.signal("STOP").await;
@@ -160,7 +172,7 @@
         version = made;
     }
     fleet.set_faults(fleet.platform_address, &down()).await;
-    // The router that starts sees the old view first: that of the one that slept.
+    // The restarted router first sees the outdated view of the router that was paused.
     fleet.routers[1].process.signal("STOP").await;
     fleet.routers[2].process.signal("CONT").await;
     fleet.restart_router(0).await;
@@ -172,7 +184,7 @@
     {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    // Time enough to take that view in, if it would.
+    // Enough time for a faulty router to adopt that view.
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.routers[1].process.signal("CONT").await;
     fleet
@@ -180,16 +192,16 @@
             status.config_version == version
         })
         .await;
-    end.store(true, Ordering::Release);
+    stop.store(true, Ordering::Release);
     for (router, watcher) in watchers.into_iter().enumerate() {
-        let versions = watcher.await.expect("the watcher ends");
+        let versions = watcher.await.expect("the watcher does not panic");
         assert!(versions.is_sorted(), "{router}: {versions:?}");
         assert_eq!(versions.last(), Some(&version), "{router}: {versions:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_cut_off_from_platform_and_peers_refuses_new_work_as_not_run() {
+async fn a_router_without_platform_and_peers_refuses_new_work_as_not_run() {
     let settings = FleetSettings {
         routers: 2,
         router_flags: vec![
@@ -212,7 +224,7 @@
         (503, "not-run"),
         "{refused:?}"
     );
-    // Started again, it has not got the contracts: that is no word on the key.
+    // After a restart it has no contracts, so it cannot tell whether the access key is valid.
     fleet.restart_router(0).await;
     let refused = chat(&url).await;
     assert_eq!(
@@ -225,13 +237,15 @@
     fleet.restart_router(1).await;
     fleet.wait_settled().await;
     fleet
-        .wait_status("the contracts back", |status| status.config_version == 1)
+        .wait_status("the contracts in force again", |status| {
+            status.config_version == 1
+        })
         .await;
     assert_eq!(chat(&url).await.outcome, "complete");
 }
 
-/// Runs the tool; gives its exit code and its lines.
-async fn tool(fleet: &Fleet, router: usize, arguments: &[&str]) -> (Option<i32>, String) {
+/// Runs the operators' command-line tool; returns its exit code and its output.
+async fn run_tool(fleet: &Fleet, router: usize, arguments: &[&str]) -> (Option<i32>, String) {
     let mut all: Vec<String> = arguments.iter().map(|text| (*text).to_owned()).collect();
     all.push(format!("--router={}", fleet.operator_url(router)));
     all.push(format!("--operator-key={OPERATOR_KEY}"));
@@ -241,14 +255,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_two_operators_one_is_accepted_and_the_other_is_told() {
+async fn of_two_conflicting_changes_one_is_accepted_and_the_other_operator_is_told_why() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     let file = std::env::temp_dir().join(format!("sapphiretrack-race-{}.toml", std::process::id()));
     let path = file.display().to_string();
     let write = |rate| std::fs::write(&file, contract_toml(rate)).expect("the file is written");
     write(1_000);
     let apply = ["contract", "apply", &path, "--new", "--operator=amina"];
-    let (code, text) = tool(&fleet, 0, &[&apply[..], &["--wait"]].concat()).await;
+    let (code, text) = run_tool(&fleet, 0, &[&apply[..], &["--wait"]].concat()).await;
     assert_eq!(code, Some(0), "{text}");
     for router in 0..3 {
         assert!(
@@ -258,11 +272,11 @@
     }
     write(2_000);
     let second = ["contract", "apply", &path, "--seen=1", "--operator=amina"];
-    let (code, text) = tool(&fleet, 1, &second).await;
+    let (code, text) = run_tool(&fleet, 1, &second).await;
     assert_eq!(code, Some(0), "{text}");
     write(3_000);
     let third = ["contract", "apply", &path, "--seen=1", "--operator=jorge"];
-    let (code, text) = tool(&fleet, 2, &third).await;
+    let (code, text) = run_tool(&fleet, 2, &third).await;
     assert_eq!(code, Some(1), "{text}");
     for part in [
         "amina",
@@ -271,22 +285,22 @@
     ] {
         assert!(text.contains(part), "no {part:?} in {text}");
     }
-    let (code, text) = tool(&fleet, 2, &["contract", "show", "teranga", "--version=1"]).await;
+    let (code, text) = run_tool(&fleet, 2, &["contract", "show", "teranga", "--version=1"]).await;
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("requests_per_s = 1000"), "{text}");
-    let (code, text) = tool(&fleet, 2, &["contract", "history"]).await;
+    let (code, text) = run_tool(&fleet, 2, &["contract", "history"]).await;
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("amina") && !text.contains("jorge"), "{text}");
     std::fs::remove_file(&file).expect("the file is removed");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn three_routers_together_admit_what_the_contract_allows() {
+async fn three_routers_together_admit_no_more_than_the_contract_allows() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     let started = Instant::now();
     fleet.apply_contract(&contract_toml(4), 0).await;
     let mut requests = Vec::new();
-    // For some seconds, so that three routers with the whole limit each would be far above it.
+    // For 3 s, so that three routers that each admitted the whole limit would exceed it by far.
     for number in 0..180 {
         let url = fleet.caller_url(number % 3);
         requests.push(tokio::spawn(async move { chat(&url).await }));
@@ -296,7 +310,7 @@
     }
     let mut complete = 0;
     for request in requests {
-        let answer = request.await.expect("the request ends");
+        let answer = request.await.expect("the request does not panic");
         if answer.outcome == "complete" {
             complete += 1;
             continue;
@@ -304,8 +318,11 @@
         assert_eq!(answer.outcome, "not-run", "{answer:?}");
         assert!(matches!(answer.status, 429 | 503), "{answer:?}");
     }
-    // Two seconds' worth at once, and four a second since.
+    // A burst of two seconds' worth, and four requests per second since.
     let allowed = 8.0 + 4.0 * started.elapsed().as_secs_f64();
-    assert!(complete >= 1, "nobody got in");
-    assert!(f64::from(complete) <= allowed, "{complete} of {allowed}");
+    assert!(complete >= 1, "no request was admitted");
+    assert!(
+        f64::from(complete) <= allowed,
+        "{complete} admitted, {allowed} allowed"
+    );
 }
--- a/crates/sapphiretrack-tests/tests/history.rs
+++ b/crates/sapphiretrack-tests/tests/history.rs
@@ -1,9 +1,9 @@
-//! The history recorder: it accepts what some order explains, and refuses what none does.
+//! The history recorder accepts linearizable histories and rejects all others.
 
 use sapphiretrack_tests::HistoryRecorder;
 use todc_utils::specifications::Specification;
 
-/// A register; a read without a value has an open result.
+/// An operation on a register; the value of a read is none while its result is not known.
 #[derive(Clone, Debug)]
 enum RegisterOperation {
     Read(Option<u32>),
@@ -31,7 +31,7 @@
 use RegisterOperation::{Read, Write};
 
 #[test]
-fn a_read_of_a_value_that_was_overwritten_before_is_refused() {
+fn a_read_of_an_overwritten_value_is_not_linearizable() {
     let recorder = HistoryRecorder::new();
     recorder.call(Write(1)).respond(Write(1));
     recorder.call(Write(2)).respond(Write(2));
@@ -40,15 +40,18 @@
 }
 
 #[test]
-fn a_write_of_unknown_outcome_may_be_seen_or_not_but_not_come_and_go() {
-    let seen = HistoryRecorder::new();
-    let open = seen.call(Write(7));
-    seen.call(Read(None)).respond(Read(Some(0)));
-    seen.call(Read(None)).respond(Read(Some(7)));
-    assert!(seen.is_linearizable::<Register>());
-    seen.call(Read(None)).respond(Read(Some(0)));
-    assert!(!seen.is_linearizable::<Register>());
-    open.withdraw();
-    assert_eq!(seen.len(), 3);
-    assert!(!seen.is_linearizable::<Register>(), "nobody wrote 7");
+fn a_write_with_an_unknown_outcome_may_take_effect_late_but_is_not_undone() {
+    let history = HistoryRecorder::new();
+    let pending = history.call(Write(7));
+    history.call(Read(None)).respond(Read(Some(0)));
+    history.call(Read(None)).respond(Read(Some(7)));
+    assert!(history.is_linearizable::<Register>());
+    history.call(Read(None)).respond(Read(Some(0)));
+    assert!(!history.is_linearizable::<Register>());
+    pending.withdraw();
+    assert_eq!(history.len(), 3);
+    assert!(
+        !history.is_linearizable::<Register>(),
+        "no operation wrote 7"
+    );
 }
--- a/crates/sapphiretrack-tests/tests/kill_points.rs
+++ b/crates/sapphiretrack-tests/tests/kill_points.rs
@@ -1,5 +1,7 @@
-//! A router is killed at each step of an order, alone and together with a fault of the platform:
-//! the order runs at most once, and a repeat with its key elsewhere gets the right outcome.
+//! Kills a router at each step of an order, with and without a fault of the platform.
+//!
+//! The order must run at most once, and a repeat with its idempotency key at another router must
+//! get the right outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,28 +12,28 @@
 use sapphiretrack_fakes::{PlatformCalls, PlatformFaults, RunCount, ServiceFaults};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml, get_json, get_text};
 
-/// Longer than any test: what is held so long is held until its router is killed.
+/// Longer than any test, so that held messages are held until the router is killed.
 const HELD_MS: u64 = 600_000;
-/// How long a step may take to be reached, or a repeat to be settled.
-const LIMIT: Duration = Duration::from_secs(60);
+/// How long an order may take to reach a step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Where the router is killed.
+/// The step of an order at which the router is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// The claim is on its way and without effect.
+    /// The claim has been sent but has had no effect yet.
     BeforeClaim,
-    /// The claim is written, and the router does not know it yet.
+    /// The claim is written, but the router does not know it yet.
     BeforeSend,
-    /// The service ran the order, and its reply is on its way.
+    /// The service has run the order, but its reply has not arrived yet.
     AfterSend,
-    /// The answer is recorded, and the router does not know it yet.
+    /// The answer is recorded, but the router does not know it yet.
     AfterRecord,
 }
 
-/// What is wrong with the platform when the repeat comes.
+/// The state of the platform during the repeat.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Platform {
-    Good,
+enum PlatformState {
+    Healthy,
     Down,
     LosesReply,
 }
@@ -46,10 +48,10 @@
     fn service(&self) -> SocketAddr {
         let mut servers = self.fleet.servers.iter();
         let service = servers.find(|member| member.vm.name == "service-0");
-        service.expect("the service is there").vm.address
+        service.expect("the fleet has the service").vm.address
     }
 
-    /// Sends the order, as often as there is no room yet.
+    /// Sends the order, and repeats that while there is no capacity yet.
     async fn send(&self, router: usize) -> Result<ReadAnswer, ClientError> {
         send(self.fleet.caller_url(router), &self.key, &self.body).await
     }
@@ -71,13 +73,13 @@
         get_json::<PlatformCalls>(&url).await.held
     }
 
-    /// Whether the claim's row is there, and whether it holds an answer.
+    /// Whether the row of the claim exists, and whether it contains an answer.
     async fn claim(&self) -> (bool, bool) {
         let hex: String = self.key.bytes().map(|byte| format!("{byte:02x}")).collect();
         let url = format!("http://{}/fake/rows", self.fleet.platform_address);
         let rows: serde_json::Value =
             serde_json::from_str(&get_text(&url).await).expect("the rows are JSON");
-        let rows = rows["rows"].as_array().expect("a list");
+        let rows = rows["rows"].as_array().expect("the rows are a list");
         let is_claim = |row: &&serde_json::Value| {
             let key = row["key"].as_str().unwrap_or_default();
             key.starts_with("claim/") && key.ends_with(&hex)
@@ -87,8 +89,8 @@
         (claim.is_some(), finished)
     }
 
-    /// Holds what the step needs held.
-    async fn hold(&self, step: Step) {
+    /// Sets the faults that hold the order at the step.
+    async fn hold_at(&self, step: Step) {
         let (platform, service) = match step {
             Step::BeforeClaim => (
                 PlatformFaults {
@@ -105,16 +107,17 @@
         self.fleet.set_faults(self.service(), &service).await;
     }
 
-    /// Waits until the order is at the step.
-    async fn reach(&self, step: Step, held_before: u64) {
-        let reached = tokio::time::timeout(LIMIT, async {
+    /// Waits until the order has reached the step.
+    async fn wait_reached(&self, step: Step, held_before: u64) {
+        let reached = tokio::time::timeout(STEP_TIMEOUT, async {
             match step {
                 Step::BeforeClaim => while self.held().await == held_before {},
                 Step::BeforeSend => while !self.claim().await.0 {},
                 Step::AfterSend => while self.runs().await == 0 {},
                 Step::AfterRecord => {
                     while self.runs().await == 0 {}
-                    // The reply is a second away: the record's reply is held, the claim's was not.
+                    // The service replies only after 1 s, so that the platform's reply to the
+                    // record is held, unlike its reply to the claim.
                     self.set_platform(&held_replies()).await;
                     while !self.claim().await.1 {}
                 }
@@ -152,24 +155,25 @@
         let answer = client
             .service(&url, Method::POST, path, body, &options)
             .await?;
-        if told(&answer) != ("not-run", "overloaded") {
+        if outcome_and_code(&answer) != ("not-run", "overloaded") {
             return Ok(answer);
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-fn told(answer: &ReadAnswer) -> (&str, &str) {
+fn outcome_and_code(answer: &ReadAnswer) -> (&str, &str) {
     let code = answer.error.as_ref().map_or("", |body| &body.error.code);
     (&answer.outcome, code)
 }
 
-/// Kills a router at a step. An answer that was quicker than the kill is no case: another order.
+/// Kills a router while an order is at a step; tries again with another order if the answer was
+/// quicker than the kill.
 async fn kill_at(order: &mut Order, step: Step) {
     for attempt in 0..10 {
         order.key = format!("{}-{attempt}", order.key);
         order.body = format!("{}-{attempt}", order.body);
-        order.hold(step).await;
+        order.hold_at(step).await;
         let held_before = order.held().await;
         let (url, key, body) = (
             order.fleet.caller_url(0),
@@ -177,14 +181,14 @@
             order.body.clone(),
         );
         let first = tokio::spawn(async move { send(url, &key, &body).await });
-        order.reach(step, held_before).await;
+        order.wait_reached(step, held_before).await;
         order.fleet.routers[0].process.kill().await;
-        let first = first.await.expect("no panic");
-        let nothing = PlatformFaults::default();
-        order.set_platform(&nothing).await;
+        let first = first.await.expect("the task does not panic");
+        let no_faults = PlatformFaults::default();
+        order.set_platform(&no_faults).await;
         let address = order.service();
-        let none = ServiceFaults::default();
-        order.fleet.set_faults(address, &none).await;
+        let no_service_faults = ServiceFaults::default();
+        order.fleet.set_faults(address, &no_service_faults).await;
         match first {
             Err(ClientError::Broken { .. }) => return,
             other => assert_eq!(step, Step::AfterRecord, "{other:?}"),
@@ -195,18 +199,21 @@
     panic!("the answer was always quicker than the kill");
 }
 
-async fn check_repeat(order: &Order, step: Step, platform: Platform) {
-    if platform == Platform::Down {
+async fn check_repeat(order: &Order, step: Step, platform: PlatformState) {
+    if platform == PlatformState::Down {
         let down = PlatformFaults {
             down: true,
             ..PlatformFaults::default()
         };
         order.set_platform(&down).await;
         let refused = order.send(1).await.expect("the router answers");
-        assert_eq!(told(&refused), ("not-run", "platform_unavailable"));
+        assert_eq!(
+            outcome_and_code(&refused),
+            ("not-run", "platform_unavailable")
+        );
         order.set_platform(&PlatformFaults::default()).await;
     }
-    if platform == Platform::LosesReply {
+    if platform == PlatformState::LosesReply {
         let loses = PlatformFaults {
             lose_replies: 1,
             ..PlatformFaults::default()
@@ -221,14 +228,14 @@
         Step::AfterRecord => (("complete", ""), 1),
     };
     let what = format!("{step:?}, platform {platform:?}: {repeat:?}");
-    assert_eq!(told(&repeat), expected, "{what}");
+    assert_eq!(outcome_and_code(&repeat), expected, "{what}");
     assert_eq!(order.runs().await, runs, "{what}");
     if expected.0 == "complete" {
         assert!(repeat.body.contains("\"run\":1"), "{what}");
     }
 }
 
-async fn kill_with_each_platform(step: Step) {
+async fn kill_in_each_platform_state(step: Step) {
     let settings = FleetSettings {
         routers: 2,
         engines: 0,
@@ -242,7 +249,11 @@
         key: String::new(),
         body: String::new(),
     };
-    for platform in [Platform::Good, Platform::Down, Platform::LosesReply] {
+    for platform in [
+        PlatformState::Healthy,
+        PlatformState::Down,
+        PlatformState::LosesReply,
+    ] {
         order.key = format!("key-{platform:?}");
         order.body = format!("lot-{platform:?}");
         kill_at(&mut order, step).await;
@@ -253,21 +264,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_before_the_claim_the_repeat_is_the_first_run() {
-    kill_with_each_platform(Step::BeforeClaim).await;
+async fn after_a_kill_before_the_claim_the_repeat_is_the_first_run() {
+    kill_in_each_platform_state(Step::BeforeClaim).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_between_claim_and_send_the_order_never_runs() {
-    kill_with_each_platform(Step::BeforeSend).await;
+async fn after_a_kill_between_claim_and_send_the_order_never_runs() {
+    kill_in_each_platform_state(Step::BeforeSend).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_after_the_send_the_order_ran_once_and_the_repeat_says_unknown() {
-    kill_with_each_platform(Step::AfterSend).await;
+async fn after_a_kill_after_the_send_the_order_ran_once_and_the_repeat_is_unknown() {
+    kill_in_each_platform_state(Step::AfterSend).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_after_the_record_the_repeat_gets_the_recorded_answer() {
-    kill_with_each_platform(Step::AfterRecord).await;
+async fn after_a_kill_after_the_record_the_repeat_gets_the_recorded_answer() {
+    kill_in_each_platform_state(Step::AfterRecord).await;
 }
--- a/crates/sapphiretrack-tests/tests/leases.rs
+++ b/crates/sapphiretrack-tests/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases in the table and orders to engines: lost replies, racing and frozen holders.
+//! Leases in the table and orders to engines: lost replies, concurrent and paused holders.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 };
 use sapphiretrack_tests::{ChildProcess, Fleet, FleetSettings, OPERATOR_KEY, get_json};
 
-/// A generous guard against a hang.
-const LIMIT: Duration = Duration::from_secs(90);
+/// How long an order may take to arrive; generous, as it only guards against a hang.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(90);
 
 fn row(holder: u64, fencing: u64, write_id: u64) -> LeaseRow {
     LeaseRow {
@@ -27,7 +27,7 @@
 async fn platform() -> (FakePlatform, LeaseStore) {
     let platform = FakePlatform::start(PlatformSettings::default())
         .await
-        .expect("the stand-in starts");
+        .expect("the fake platform starts");
     let client = PlatformClient::new(Settings {
         url: platform.url(),
         timeout_ms: 2_000,
@@ -44,38 +44,38 @@
 }
 
 #[tokio::test]
-async fn a_reply_lost_after_a_lease_write_is_settled_by_reading_back() {
+async fn a_reply_lost_after_a_lease_write_is_resolved_by_reading_back() {
     let (platform, store) = platform().await;
-    let before = store.read().await.expect("a row");
+    let before = store.read().await.expect("the row is read");
     assert_eq!(before, StoredLease::default());
     platform.set_faults(lose(1, 0));
     let written = store
         .write(&before, &row(1, 1, 10))
         .await
-        .expect("it is settled");
+        .expect("the outcome is known");
     assert_eq!(written, LeaseWritten::Ours);
-    // A write that never arrived is not held, though it may seem to be on its way.
-    let seen = store.read().await.expect("a row");
+    // A write that never arrived gets no lease, although it could still be on its way.
+    let seen = store.read().await.expect("the row is read");
     platform.set_faults(lose(0, 1));
     let lost = store.write(&seen, &row(2, 2, 11)).await;
     assert!(
         matches!(lost, Err(PlatformError::ReplyLost { .. })),
         "{lost:?}"
     );
-    assert_eq!(store.read().await.expect("a row"), seen);
+    assert_eq!(store.read().await.expect("the row is read"), seen);
 }
 
 #[tokio::test]
-async fn of_two_holders_racing_one_gets_the_lease_though_a_reply_is_lost() {
+async fn one_of_two_concurrent_writers_gets_the_lease_even_if_a_reply_is_lost() {
     let (platform, store) = platform().await;
     for round in 1..=20 {
-        let seen = store.read().await.expect("a row");
+        let seen = store.read().await.expect("the row is read");
         platform.set_faults(lose(u32::from(round % 2 == 0), 0));
         let (one, two) = (row(1, round, round * 2), row(2, round, round * 2 + 1));
         let (first, second) = tokio::join!(store.write(&seen, &one), store.write(&seen, &two));
         let results = [
-            first.expect("it is settled"),
-            second.expect("it is settled"),
+            first.expect("the outcome is known"),
+            second.expect("the outcome is known"),
         ];
         let ours = results
             .iter()
@@ -86,7 +86,10 @@
         } else {
             two
         };
-        assert_eq!(store.read().await.expect("a row").row, Some(winner));
+        assert_eq!(
+            store.read().await.expect("the row is read").row,
+            Some(winner)
+        );
     }
 }
 
@@ -114,9 +117,9 @@
     assert_eq!(reply.expect("the router answers").problem, None);
 }
 
-/// Waits until an order for a version was taken; returns its fencing number.
-async fn ordered(fleet: &Fleet, version: &str) -> u64 {
-    let waited = tokio::time::timeout(LIMIT, async {
+/// Waits until the engine has accepted an order for a version; returns its fencing number.
+async fn wait_ordered(fleet: &Fleet, version: &str) -> u64 {
+    let waited = tokio::time::timeout(ORDER_TIMEOUT, async {
         loop {
             let all = orders(fleet).await;
             let found = all.iter().find(|arrived| {
@@ -133,8 +136,9 @@
         .unwrap_or_else(|_| panic!("version {version} was not ordered"))
 }
 
-/// The holder freezes past its lease and wakes up while its successor gives orders.
-async fn freeze_the_holder(check: FencingCheck) -> Vec<ArrivedOrder> {
+/// Pauses the lease holder past the end of its lease and resumes it while its successor sends
+/// orders; returns the orders that arrived at the engine.
+async fn pause_lease_holder(check: FencingCheck) -> Vec<ArrivedOrder> {
     let mut settings = FleetSettings::default();
     if check == FencingCheck::Ignores {
         settings.engine_flags.push(String::from("--ignore-fencing"));
@@ -147,17 +151,17 @@
     let reply = fleet.operator(0).set_fencing(&fencing).await;
     assert_eq!(reply.expect("the router answers").problem, None);
     set_version(&fleet, 0, "2").await;
-    let first = ordered(&fleet, "2").await;
+    let first = wait_ordered(&fleet, "2").await;
     let taken = format!("event=\"410\" fencing=\"{first}\"");
     let holder = (0..3).find(|router| {
         let lines = fleet.routers[*router].process.lines();
         lines.iter().any(|line| line.contains(&taken))
     });
-    let holder = holder.expect("the holder of the number logged it");
+    let holder = holder.expect("the lease holder has logged its fencing number");
     let other = (holder + 1) % 3;
     fleet.routers[holder].process.signal("STOP").await;
     set_version(&fleet, other, "3").await;
-    let second = ordered(&fleet, "3").await;
+    let second = wait_ordered(&fleet, "3").await;
     assert!(second > first, "{first} then {second}");
     fleet.routers[holder].process.signal("CONT").await;
     fleet.routers[holder]
@@ -165,13 +169,13 @@
         .wait_line("event=\"220\"")
         .await;
     set_version(&fleet, other, "4").await;
-    ordered(&fleet, "4").await;
+    wait_ordered(&fleet, "4").await;
     orders(&fleet).await
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_holder_frozen_past_its_lease_gives_no_old_order_to_a_checking_engine() {
-    let history = freeze_the_holder(FencingCheck::Checks).await;
+async fn a_checking_engine_accepts_no_outdated_order_of_a_holder_paused_past_its_lease() {
+    let history = pause_lease_holder(FencingCheck::Checks).await;
     let numbers: Vec<u64> = history
         .iter()
         .filter(|arrived| arrived.taken)
@@ -181,9 +185,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_ignoring_engine_ends_at_the_last_goal_though_a_holder_froze() {
-    let history = freeze_the_holder(FencingCheck::Ignores).await;
-    let last = history.last().expect("orders");
+async fn an_engine_that_ignores_fencing_ends_at_the_last_goal_after_a_holder_was_paused() {
+    let history = pause_lease_holder(FencingCheck::Ignores).await;
+    let last = history.last().expect("orders arrived");
     assert_eq!(last.order.goal.version.as_deref(), Some("4"), "{history:?}");
     let highest = history.iter().map(|arrived| arrived.order.fencing).max();
     assert_eq!(Some(last.order.fencing), highest, "{history:?}");
@@ -205,7 +209,7 @@
         ],
     );
     assert_eq!(tool.wait().await, Some(0), "{:?}", tool.lines());
-    let stopped = tokio::time::timeout(LIMIT, async {
+    let stopped = tokio::time::timeout(ORDER_TIMEOUT, async {
         while !orders(&fleet)
             .await
             .iter()
@@ -214,8 +218,12 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     });
-    assert!(stopped.await.is_ok(), "no order to stop came");
-    let status = fleet.operator(2).status().await.expect("a status");
+    assert!(stopped.await.is_ok(), "no order to stop arrived");
+    let status = fleet
+        .operator(2)
+        .status()
+        .await
+        .expect("the router answers");
     let name = &fleet.servers[0].vm.name;
     let line = status.servers.iter().find(|server| server.name == *name);
     assert!(
--- a/crates/sapphiretrack-tests/tests/limits.rs
+++ b/crates/sapphiretrack-tests/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Limits over router processes: a surge in which one dies and one stands still; a full pool.
+//! Limits across router processes: a surge during which one router dies and one is paused, and a
+//! full pool.
 
 use std::time::{Duration, Instant};
 
@@ -12,20 +13,21 @@
 const ROUTERS: usize = 9;
 const RATE_PER_S: f64 = 30.0;
 const BURST: f64 = 2.0 * RATE_PER_S;
-/// Five times the contract's rate.
-const GAP: Duration = Duration::from_micros(6_667);
-const A_SECOND: usize = 150;
+/// Interval between requests at five times the contract's rate.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(6_667);
+/// Number of requests in a second at this interval.
+const REQUESTS_IN_ONE_SECOND: usize = 150;
 
-/// What became of a request.
+/// Whether a request may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
-    /// Complete, or begun on a router that died.
+enum RequestResult {
+    /// Complete, or possibly started, as on a router that died.
     Ran,
-    /// Refused, final, not run.
+    /// Refused with the final outcome `not-run`.
     Refused,
 }
 
-async fn chat(url: String, key: &'static str, max_tokens: u32) -> Fate {
+async fn chat(url: String, key: &'static str, max_tokens: u32) -> RequestResult {
     let options = RequestOptions {
         key: key.to_owned(),
         workspace: Some(String::from("tempering")),
@@ -39,32 +41,33 @@
     });
     let body = Bytes::from(body.to_string());
     match CallerClient::new().chat(&url, body, &options, |_| {}).await {
-        Ok(answer) if answer.outcome == "not-run" => Fate::Refused,
-        _ => Fate::Ran,
+        Ok(answer) if answer.outcome == "not-run" => RequestResult::Refused,
+        _ => RequestResult::Ran,
     }
 }
 
-/// Sends requests to the routers in turn, at five times the rate.
-async fn send(fleet: &Fleet, routers: &[usize], count: usize) -> Vec<JoinHandle<Fate>> {
+/// Sends requests to the routers in turn, at five times the contract's rate.
+async fn send(fleet: &Fleet, routers: &[usize], count: usize) -> Vec<JoinHandle<RequestResult>> {
     let mut requests = Vec::with_capacity(count);
     for number in 0..count {
         let url = fleet.caller_url(routers[number % routers.len()]);
         requests.push(tokio::spawn(chat(url, CALLER_KEY, 2)));
-        tokio::time::sleep(GAP).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     requests
 }
 
-async fn count_ran(requests: Vec<JoinHandle<Fate>>) -> usize {
+async fn count_ran(requests: Vec<JoinHandle<RequestResult>>) -> usize {
     let mut ran = 0;
     for request in requests {
-        ran += usize::from(request.await.expect("the request ends") == Fate::Ran);
+        ran +=
+            usize::from(request.await.expect("the request does not panic") == RequestResult::Ran);
     }
     ran
 }
 
-/// All routers but the one that keeps the customer's budget.
-fn limiters(fleet: &Fleet) -> Vec<usize> {
+/// All routers except the one that keeps the customer's budget.
+fn routers_without_budget(fleet: &Fleet) -> Vec<usize> {
     let routers = fleet.routers.iter();
     let ids: Vec<RouterId> = routers
         .map(|router| RouterId::from_name(&router.vm.name))
@@ -77,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn nine_routers_stay_within_the_contract_though_one_dies_and_one_stands_still() {
+async fn nine_routers_stay_within_the_contract_while_one_dies_and_one_is_paused() {
     let settings = FleetSettings {
         routers: ROUTERS,
         ..FleetSettings::default()
@@ -86,30 +89,33 @@
     fleet
         .apply_contract(&contract_toml(RATE_PER_S as u32), 0)
         .await;
-    let mut limiters = limiters(&fleet);
+    let mut entry_routers = routers_without_budget(&fleet);
     let started = Instant::now();
-    let mut requests = send(&fleet, &limiters, 2 * A_SECOND).await;
-    let dead = limiters.pop().expect("there are eight");
+    let mut requests = send(&fleet, &entry_routers, 2 * REQUESTS_IN_ONE_SECOND).await;
+    let dead = entry_routers.pop().expect("eight routers are left");
     fleet.routers[dead].process.kill().await;
-    requests.extend(send(&fleet, &limiters, A_SECOND).await);
-    let still = limiters.pop().expect("there are seven");
-    fleet.routers[still].process.signal("STOP").await;
-    requests.extend(send(&fleet, &limiters, 2 * A_SECOND).await);
-    fleet.routers[still].process.signal("CONT").await;
-    limiters.push(still);
-    requests.extend(send(&fleet, &limiters, A_SECOND).await);
-    let exact = BURST + RATE_PER_S * started.elapsed().as_secs_f64();
+    requests.extend(send(&fleet, &entry_routers, REQUESTS_IN_ONE_SECOND).await);
+    let paused = entry_routers.pop().expect("seven routers are left");
+    fleet.routers[paused].process.signal("STOP").await;
+    requests.extend(send(&fleet, &entry_routers, 2 * REQUESTS_IN_ONE_SECOND).await);
+    fleet.routers[paused].process.signal("CONT").await;
+    entry_routers.push(paused);
+    requests.extend(send(&fleet, &entry_routers, REQUESTS_IN_ONE_SECOND).await);
+    let allowed = BURST + RATE_PER_S * started.elapsed().as_secs_f64();
     let offered = requests.len();
     let ran = count_ran(requests).await as f64;
-    println!("{offered} offered, {ran} ran, {exact:.1} by one counter");
-    assert!(ran <= exact, "{ran} of {exact}");
-    assert!(ran >= BURST * UNSURE_SHARE, "{ran}: nobody got in");
+    println!("{offered} offered, {ran} ran, {allowed:.1} allowed by one counter");
+    assert!(ran <= allowed, "{ran} ran, {allowed} allowed");
+    assert!(
+        ran >= BURST * UNSURE_SHARE,
+        "only {ran} requests were admitted"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn in_a_full_pool_a_loud_customer_leaves_a_quiet_one_most_of_what_it_asks() {
+async fn in_a_full_pool_a_quiet_customer_gets_most_of_its_requests_despite_a_busy_one() {
     const OTHER_KEY: &str = "key-of-another-customer";
-    // Twenty-four requests of a second at a time.
+    // 24 requests at a time, of one second each.
     let settings = FleetSettings {
         router_flags: vec![
             String::from("--floor-requests=12"),
@@ -138,18 +144,22 @@
     fleet
         .wait_status("both contracts", |status| status.config_version > version)
         .await;
-    let mut many = Vec::new();
-    let mut few = Vec::new();
+    let mut busy = Vec::new();
+    let mut quiet = Vec::new();
     for number in 0..300 {
         let url = fleet.caller_url(number % 3);
-        many.push(tokio::spawn(chat(url.clone(), CALLER_KEY, 10)));
+        busy.push(tokio::spawn(chat(url.clone(), CALLER_KEY, 10)));
         if number % 4 == 3 {
-            few.push(tokio::spawn(chat(url, OTHER_KEY, 10)));
+            quiet.push(tokio::spawn(chat(url, OTHER_KEY, 10)));
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let (many, few) = (count_ran(many).await, count_ran(few).await);
-    println!("{many} of 300 and {few} of 75 ran");
-    // It asks for half of the room. By chance alone it would have half of that.
-    assert!(few * 10 >= 75 * 7, "{few} against {many}");
+    let (busy, quiet) = (count_ran(busy).await, count_ran(quiet).await);
+    println!("{busy} of 300 and {quiet} of 75 ran");
+    // The quiet customer asks for half of the capacity; by chance alone it would get at most half
+    // of that.
+    assert!(
+        quiet * 10 >= 75 * 7,
+        "{quiet} of 75 of the quiet customer ran, {busy} of 300 of the busy one"
+    );
 }
--- a/crates/sapphiretrack-tests/tests/outcome_history/faults.rs
+++ b/crates/sapphiretrack-tests/tests/outcome_history/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that come while the requests run.
+//! Injects faults while the requests run.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -12,8 +12,8 @@
 use crate::requests::Shared;
 use crate::{ANSWER_TOKENS, REQUESTS, SEED};
 
-/// Sets faults of one stand-in, drawn at random.
-pub(crate) async fn trouble(fleet: &Fleet, random: &mut ChaCha8Rng) {
+/// Sets randomly chosen faults of one fake, and ends those of the platform after a moment.
+pub(crate) async fn inject_fault(fleet: &Fleet, random: &mut ChaCha8Rng) {
     let count = random.random_range(1..4);
     let servers: Vec<(SocketAddr, bool)> = fleet
         .servers
@@ -98,54 +98,56 @@
         .await;
 }
 
-/// Kills, pauses and replaces routers, and troubles the stand-ins, until the callers are done.
-pub(crate) async fn make_trouble(fleet: &mut Fleet, shared: &Shared) {
+/// Kills, pauses and replaces routers and injects faults into the fakes until the callers are done.
+pub(crate) async fn inject_faults(fleet: &mut Fleet, shared: &Shared) {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let mut rounds: u32 = 0;
     let mut stopping = None;
     while !shared.done.load(Ordering::Relaxed) {
         rounds += 1;
-        trouble(fleet, &mut random).await;
-        let victim = random.random_range(1..fleet.routers.len());
+        inject_fault(fleet, &mut random).await;
+        let router = random.random_range(1..fleet.routers.len());
         if rounds.is_multiple_of(7) {
-            fleet.routers[victim].process.signal("STOP").await;
+            fleet.routers[router].process.signal("STOP").await;
             let pause = Duration::from_millis(random.next_u64() % 600);
             tokio::time::sleep(pause).await;
-            fleet.routers[victim].process.signal("CONT").await;
+            fleet.routers[router].process.signal("CONT").await;
         }
         if rounds.is_multiple_of(25) && shared.next.load(Ordering::Relaxed) < REQUESTS {
-            let url = fleet.caller_url(victim);
-            shared.killed.lock().expect("no panic").push(url);
-            fleet.routers[victim].process.kill().await;
-            drop(replace_router(fleet, shared, victim, rounds).await);
+            let url = fleet.caller_url(router);
+            shared.killed.lock().expect("no thread panicked").push(url);
+            fleet.routers[router].process.kill().await;
+            drop(replace_router(fleet, shared, router, rounds).await);
         }
         if rounds == 30 {
-            // The first router is never killed or paused: its stop is a planned one.
+            // The first router is never killed or paused before its planned stop.
             fleet.routers[0].process.signal("TERM").await;
             let mut member = replace_router(fleet, shared, 0, rounds).await;
             stopping = Some(tokio::spawn(async move { member.process.wait().await }));
         }
     }
-    let code = stopping.expect("the run is long enough for a stop").await;
+    let code = stopping
+        .expect("the run is long enough for a planned stop")
+        .await;
     assert_eq!(
-        code.expect("no panic"),
+        code.expect("no thread panicked"),
         Some(0),
         "the planned stop is clean"
     );
 }
 
-/// Takes a router out of what callers use and starts another one in its place.
+/// Replaces a router that callers use by a new one and returns the old one.
 pub(crate) async fn replace_router(
     fleet: &mut Fleet,
     shared: &Shared,
     index: usize,
     round: u32,
 ) -> Member {
-    let gone = fleet.routers.remove(index);
+    let replaced = fleet.routers.remove(index);
     let name = format!("router-new-{round}-{index}");
     fleet.add_router(&name, index).await;
     fleet.publish().await;
     let urls = (0..fleet.routers.len()).map(|router| fleet.caller_url(router));
-    *shared.urls.lock().expect("no panic") = urls.collect();
-    gone
+    *shared.urls.lock().expect("no thread panicked") = urls.collect();
+    replaced
 }
--- a/crates/sapphiretrack-tests/tests/outcome_history/requests.rs
+++ b/crates/sapphiretrack-tests/tests/outcome_history/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, and what each was told.
+//! Requests of callers and the outcomes that they got.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -14,34 +14,34 @@
 
 use crate::{ANSWER_TOKENS, REQUESTS};
 
-/// A kind of request.
+/// A kind of request; labels and order chats are not idempotent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Kind {
+pub(crate) enum RequestKind {
     Label,
     Lookup,
     Chat,
     OrderChat,
 }
 
-/// What a caller was told about one try.
+/// The result of one try, as its caller saw it.
 #[derive(Clone, Debug)]
-pub(crate) enum Told {
+pub(crate) enum TryResult {
     Answer(ReadAnswer),
-    NotReached,
-    /// The router at this URL cut the connection.
+    Unreachable,
+    /// The router at this URL closed the connection before the answer was complete.
     Broken(String),
 }
 
 /// One request with all its tries.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
-    pub(crate) kind: Kind,
+    pub(crate) kind: RequestKind,
     pub(crate) order: String,
     pub(crate) body: Bytes,
-    pub(crate) tries: Vec<Told>,
+    pub(crate) tries: Vec<TryResult>,
 }
 
-/// What callers and the faults share.
+/// State shared by the callers and the fault injection.
 pub(crate) struct Shared {
     pub(crate) urls: Mutex<Vec<String>>,
     pub(crate) killed: Mutex<Vec<String>>,
@@ -51,8 +51,8 @@
 }
 
 impl Shared {
-    pub(crate) fn pick(&self, random: &mut ChaCha8Rng) -> String {
-        let urls = self.urls.lock().expect("no panic");
+    pub(crate) fn random_url(&self, random: &mut ChaCha8Rng) -> String {
+        let urls = self.urls.lock().expect("no thread panicked");
         urls[random.random_range(0..urls.len())].clone()
     }
 }
@@ -67,7 +67,7 @@
     Bytes::from(body.to_string())
 }
 
-/// The messages as the engine counts them, and the words of the whole answer.
+/// The messages by which an engine counts runs of a chat, and the words of the complete answer.
 pub(crate) fn expected_chat(order: &str) -> (String, Vec<String>) {
     let messages = serde_json::json!([{ "role": "user", "content": order }]);
     let answer = expected_answer(&messages, ANSWER_TOKENS);
@@ -78,16 +78,16 @@
 impl Record {
     pub(crate) fn new(number: usize, random: &mut ChaCha8Rng) -> Self {
         let kind = match random.random_range(0..100) {
-            0..40 => Kind::Label,
-            40..55 => Kind::Lookup,
-            55..80 => Kind::Chat,
-            _ => Kind::OrderChat,
+            0..40 => RequestKind::Label,
+            40..55 => RequestKind::Lookup,
+            55..80 => RequestKind::Chat,
+            _ => RequestKind::OrderChat,
         };
         let order = format!("order {number}");
         let body = match kind {
-            Kind::Label | Kind::Lookup => Bytes::from(order.clone()),
-            Kind::Chat => chat_body("assistant", &order),
-            Kind::OrderChat => chat_body("dispatch", &order),
+            RequestKind::Label | RequestKind::Lookup => Bytes::from(order.clone()),
+            RequestKind::Chat => chat_body("assistant", &order),
+            RequestKind::OrderChat => chat_body("dispatch", &order),
         };
         Self {
             kind,
@@ -97,25 +97,27 @@
         }
     }
 
-    pub(crate) fn once(&self) -> bool {
-        matches!(self.kind, Kind::Label | Kind::OrderChat)
+    pub(crate) fn is_non_idempotent(&self) -> bool {
+        matches!(self.kind, RequestKind::Label | RequestKind::OrderChat)
     }
 
-    pub(crate) async fn send(&self, url: &str) -> Told {
+    pub(crate) async fn send(&self, url: &str) -> TryResult {
         let options = RequestOptions {
             key: CALLER_KEY.to_owned(),
             chat: Some(self.order.clone()),
-            idempotency_key: self.once().then(|| self.order.clone()),
+            idempotency_key: self.is_non_idempotent().then(|| self.order.clone()),
             ..RequestOptions::default()
         };
-        // A connection of its own: a kept one may be closed while the next request is on its way.
+        // A new connection: a reused one may be closed while the request is being sent.
         let client = CallerClient::new();
         let body = self.body.clone();
         let answer = match self.kind {
-            Kind::Chat | Kind::OrderChat => client.chat(url, body, &options, |_| {}).await,
-            Kind::Label | Kind::Lookup => {
+            RequestKind::Chat | RequestKind::OrderChat => {
+                client.chat(url, body, &options, |_| {}).await
+            }
+            RequestKind::Label | RequestKind::Lookup => {
                 let path = match self.kind {
-                    Kind::Label => "plant/labels/print",
+                    RequestKind::Label => "plant/labels/print",
                     _ => "plant/pallets",
                 };
                 client
@@ -124,24 +126,25 @@
             }
         };
         match answer {
-            Ok(answer) => Told::Answer(answer),
-            Err(ClientError::Unreachable { .. }) => Told::NotReached,
-            Err(ClientError::Broken { url, .. }) => Told::Broken(url),
+            Ok(answer) => TryResult::Answer(answer),
+            Err(ClientError::Unreachable { .. }) => TryResult::Unreachable,
+            Err(ClientError::Broken { url, .. }) => TryResult::Broken(url),
         }
     }
 
-    /// Sends up to three times; some keys at two routers at once.
+    /// Sends the request up to three times, and some requests to two routers at once before that.
     pub(crate) async fn run(&mut self, shared: &Shared, random: &mut ChaCha8Rng) {
         if random.random_bool(0.25) {
-            let (first, second) = (shared.pick(random), shared.pick(random));
-            let (one, other) = tokio::join!(self.send(&first), self.send(&second));
-            self.tries.extend([one, other]);
+            let (first, second) = (shared.random_url(random), shared.random_url(random));
+            let (first_result, second_result) = tokio::join!(self.send(&first), self.send(&second));
+            self.tries.extend([first_result, second_result]);
         }
         for _ in 0..3 {
-            let url = shared.pick(random);
-            let told = self.send(&url).await;
-            let complete = matches!(&told, Told::Answer(answer) if answer.outcome == "complete");
-            self.tries.push(told);
+            let url = shared.random_url(random);
+            let result = self.send(&url).await;
+            let complete =
+                matches!(&result, TryResult::Answer(answer) if answer.outcome == "complete");
+            self.tries.push(result);
             if complete && random.random_bool(0.8) {
                 break;
             }
@@ -149,47 +152,49 @@
         }
     }
 
-    /// Checks what was told against how often it ran; returns flaws.
+    /// Compares the results with how often the request ran; returns violations.
     pub(crate) fn check(&self, runs: &BTreeMap<String, u32>, killed: &[String]) -> Vec<String> {
-        let mut flaws = Vec::new();
-        for told in &self.tries {
-            if let Told::Broken(url) = told
+        let mut violations = Vec::new();
+        for result in &self.tries {
+            if let TryResult::Broken(url) = result
                 && !killed.contains(url)
             {
-                flaws.push(format!("cut by {url}, which was not killed"));
+                violations.push(format!("cut by {url}, which was not killed"));
             }
         }
         let ran = runs.get(&self.run_key()).copied().unwrap_or(0);
-        if self.once() && ran > 1 {
-            flaws.push(format!("ran {ran} times"));
+        if self.is_non_idempotent() && ran > 1 {
+            violations.push(format!("ran {ran} times"));
         }
-        let all_not_run = self.tries.iter().all(|told| match told {
-            Told::NotReached => true,
-            Told::Broken(_) => false,
-            Told::Answer(answer) => answer.outcome == "not-run",
+        let all_refused = self.tries.iter().all(|result| match result {
+            TryResult::Unreachable => true,
+            TryResult::Broken(_) => false,
+            TryResult::Answer(answer) => answer.outcome == "not-run",
         });
-        if all_not_run && ran > 0 {
-            flaws.push(format!("told not-run and ran {ran} times"));
+        if all_refused && ran > 0 {
+            violations.push(format!("reported as not-run but ran {ran} times"));
         }
-        for told in &self.tries {
-            let Told::Answer(answer) = told else { continue };
+        for result in &self.tries {
+            let TryResult::Answer(answer) = result else {
+                continue;
+            };
             if answer.outcome == "complete" && ran == 0 {
-                flaws.push(String::from("told complete and never ran"));
+                violations.push(String::from("reported as complete but never ran"));
             }
-            flaws.extend(self.check_answer(answer));
+            violations.extend(self.check_answer(answer));
         }
-        flaws
+        violations
     }
 
     pub(crate) fn check_answer(&self, answer: &ReadAnswer) -> Option<String> {
         let complete = answer.outcome == "complete";
-        let right = match self.kind {
-            Kind::Label | Kind::Lookup => {
+        let is_correct = match self.kind {
+            RequestKind::Label | RequestKind::Lookup => {
                 let value: serde_json::Value = serde_json::from_str(&answer.body).ok()?;
                 let order = value["order"].as_str().unwrap_or_default();
                 !complete || order.ends_with(&format!(" {}", self.order))
             }
-            Kind::Chat | Kind::OrderChat if answer.status == 200 => {
+            RequestKind::Chat | RequestKind::OrderChat if answer.status == 200 => {
                 let (_, words) = expected_chat(&self.order);
                 let got: Vec<&str> = answer.body.split_whitespace().collect();
                 words
@@ -201,19 +206,19 @@
             }
             _ => true,
         };
-        (!right).then(|| format!("a wrong answer: {answer:?}"))
+        (!is_correct).then(|| format!("a wrong answer: {answer:?}"))
     }
 
     pub(crate) fn run_key(&self) -> String {
         match self.kind {
-            Kind::Label => format!("POST /labels/print {}", self.order),
-            Kind::Lookup => format!("POST /pallets {}", self.order),
-            Kind::Chat | Kind::OrderChat => expected_chat(&self.order).0,
+            RequestKind::Label => format!("POST /labels/print {}", self.order),
+            RequestKind::Lookup => format!("POST /pallets {}", self.order),
+            RequestKind::Chat | RequestKind::OrderChat => expected_chat(&self.order).0,
         }
     }
 }
 
-pub(crate) async fn work(shared: Arc<Shared>, seed: u64) {
+pub(crate) async fn run_worker(shared: Arc<Shared>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     loop {
         let number = shared.next.fetch_add(1, Ordering::Relaxed);
@@ -222,6 +227,10 @@
         }
         let mut record = Record::new(number, &mut random);
         record.run(&shared, &mut random).await;
-        shared.records.lock().expect("no panic").push(record);
+        shared
+            .records
+            .lock()
+            .expect("no thread panicked")
+            .push(record);
     }
 }
--- a/crates/sapphiretrack-tests/tests/outcomes.rs
+++ b/crates/sapphiretrack-tests/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes in separate processes, one fault at a time.
+//! Outcomes of requests to a fleet of processes, with one fault at a time.
 
 use std::time::Duration;
 
@@ -30,35 +30,35 @@
     Bytes::from(body.to_string())
 }
 
-/// Sends an order; comes back while a server that just joined, or whose slots pass to another
-/// router, is not counted yet.
+/// Sends an order, and repeats that while there is no capacity: the slots of a server that has just
+/// joined, or that are handed over to another router, are not available yet.
 async fn order(url: &str, path: &str, body: &'static str, key: &str) -> ReadAnswer {
     let (client, options) = (CallerClient::new(), options(Some(key)));
     loop {
         let body = Bytes::from_static(body.as_bytes());
         let answer = client.service(url, Method::POST, path, body, &options);
         let answer = answer.await.expect("the router answers");
-        if !comes_back(&answer).await {
+        if !wait_if_overloaded(&answer).await {
             return answer;
         }
     }
 }
 
-/// Sends a chat; comes back as for an order.
+/// Sends a chat, and repeats that like [`order`].
 async fn chat(url: &str, body: Bytes, key: Option<&str>) -> ReadAnswer {
     let (client, options) = (CallerClient::new(), options(key));
     loop {
         let answer = client.chat(url, body.clone(), &options, |_| {});
         let answer = answer.await.expect("the router answers");
-        if !comes_back(&answer).await {
+        if !wait_if_overloaded(&answer).await {
             return answer;
         }
     }
 }
 
-/// Waits a moment if there is no room yet.
-async fn comes_back(answer: &ReadAnswer) -> bool {
-    let full = told(answer) == ("not-run", "overloaded");
+/// Whether the request was refused for lack of capacity; waits a moment if so.
+async fn wait_if_overloaded(answer: &ReadAnswer) -> bool {
+    let full = outcome_and_code(answer) == ("not-run", "overloaded");
     if full {
         assert!(answer.retry_after_s.is_some(), "{answer:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -66,14 +66,14 @@
     full
 }
 
-/// Outcome, and the code of the error or nothing.
-fn told(answer: &ReadAnswer) -> (&str, &str) {
+/// The outcome, and the code of the error or an empty string.
+fn outcome_and_code(answer: &ReadAnswer) -> (&str, &str) {
     let code = answer.error.as_ref().map_or("", |body| &body.error.code);
     (&answer.outcome, code)
 }
 
-/// Repeats an order, as its refusals ask, until it is complete.
-async fn until_complete(url: &str, body: &'static str, key: &str) -> ReadAnswer {
+/// Repeats an order until it is complete; each other answer must allow a repeat.
+async fn repeat_until_complete(url: &str, body: &'static str, key: &str) -> ReadAnswer {
     let waited = tokio::time::timeout(Duration::from_secs(60), async {
         loop {
             let answer = order(url, PRINT, body, key).await;
@@ -84,7 +84,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     });
-    waited.await.expect("the answer is recorded at last")
+    waited.await.expect("the order is complete within 60 s")
 }
 
 async fn fleet(settings: FleetSettings, contract: &str) -> Fleet {
@@ -95,7 +95,7 @@
 
 fn server(fleet: &Fleet, name: &str) -> std::net::SocketAddr {
     let member = fleet.servers.iter().find(|member| member.vm.name == name);
-    member.expect("the server is there").vm.address
+    member.expect("the fleet has the server").vm.address
 }
 
 fn slow_platform(delay_ms: u64) -> PlatformFaults {
@@ -112,7 +112,7 @@
         ..FleetSettings::default()
     };
     let fleet = fleet(settings, &contract_toml(1_000)).await;
-    // The claim takes effect, and its reply finds the router paused.
+    // The claim takes effect, but its reply arrives while the router is paused.
     let faults = PlatformFaults {
         delay_replies_ms: 5_000,
         ..PlatformFaults::default()
@@ -125,22 +125,22 @@
     fleet
         .set_faults(fleet.platform_address, &PlatformFaults::default())
         .await;
-    // The paused router may have counted the service's slots; another one takes that over.
+    // The paused router may be the one that counts the service's slots; another then takes over.
     let meanwhile = order(&fleet.caller_url(1), PRINT, "lot 1", "k").await;
     assert_eq!(
-        told(&meanwhile),
+        outcome_and_code(&meanwhile),
         ("unknown", "already_claimed"),
         "{meanwhile:?}"
     );
     first.abort();
     fleet.routers[0].process.signal("CONT").await;
-    let answer = until_complete(&fleet.caller_url(2), "lot 1", "k").await;
+    let answer = repeat_until_complete(&fleet.caller_url(2), "lot 1", "k").await;
     assert!(answer.body.contains("\"run\":1"), "{answer:?}");
     let again = order(&fleet.caller_url(1), PRINT, "lot 1", "k").await;
     assert_eq!(again.body, answer.body);
 }
 
-/// Waits until the platform's table has a claim.
+/// Waits until the platform's table contains a claim.
 async fn wait_for_claim(fleet: &Fleet) {
     let url = format!("http://{}/fake/rows", fleet.platform_address);
     let waited = tokio::time::timeout(Duration::from_secs(60), async {
@@ -157,18 +157,22 @@
         .set_faults(fleet.platform_address, &slow_platform(900))
         .await;
     let late = order(&fleet.caller_url(0), PRINT, "lot 2", "k").await;
-    assert_eq!(told(&late), ("not-run", "deadline_passed"), "{late:?}");
+    assert_eq!(
+        outcome_and_code(&late),
+        ("not-run", "deadline_passed"),
+        "{late:?}"
+    );
     assert!(late.retry_after_s.is_some());
     fleet
         .set_faults(fleet.platform_address, &slow_platform(0))
         .await;
     fleet
-        .wait_status_of(0, "it has ended", |status| status.in_flight == 0)
+        .wait_status_of(0, "the end of the request", |status| status.in_flight == 0)
         .await;
     let runs = get_text(&format!("http://{}/fake/runs", server(&fleet, "service-0"))).await;
     assert_eq!(runs, "[]");
     // The claim is withdrawn, so the repeat is the first run.
-    let answer = until_complete(&fleet.caller_url(1), "lot 2", "k").await;
+    let answer = repeat_until_complete(&fleet.caller_url(1), "lot 2", "k").await;
     assert!(answer.body.contains("\"run\":1"), "{answer:?}");
 }
 
@@ -183,8 +187,12 @@
     };
     fleet.set_faults(server(&fleet, "service-0"), &faults).await;
     let late = order(&fleet.caller_url(0), PRINT, "lot 3", "k").await;
-    assert_eq!(told(&late), ("unknown", "deadline_passed"), "{late:?}");
-    let answer = until_complete(&fleet.caller_url(1), "lot 3", "k").await;
+    assert_eq!(
+        outcome_and_code(&late),
+        ("unknown", "deadline_passed"),
+        "{late:?}"
+    );
+    let answer = repeat_until_complete(&fleet.caller_url(1), "lot 3", "k").await;
     assert!(answer.body.contains("\"run\":1"), "{answer:?}");
 }
 
@@ -201,17 +209,17 @@
         order(&first, PRINT, "lot 4", "k"),
         order(&second, PRINT, "lot 4", "k")
     );
-    let answer = until_complete(&fleet.caller_url(2), "lot 4", "k").await;
+    let answer = repeat_until_complete(&fleet.caller_url(2), "lot 4", "k").await;
     assert!(answer.body.contains("\"run\":1"), "{answer:?}");
     let other = order(&first, PRINT, "lot 5", "k").await;
     assert_eq!(
-        (told(&other), other.status),
+        (outcome_and_code(&other), other.status),
         (("not-run", "key_reused"), 422)
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refusal_to_start_another_request_is_not_believed() {
+async fn a_refusal_that_belongs_to_another_request_is_not_trusted() {
     let fleet = fleet(FleetSettings::default(), &contract_toml(1_000)).await;
     let faults = ServiceFaults {
         refuse: 1,
@@ -220,11 +228,15 @@
     };
     fleet.set_faults(server(&fleet, "service-0"), &faults).await;
     let answer = order(&fleet.caller_url(0), PRINT, "lot 8", "k").await;
-    assert_eq!(told(&answer), ("unknown", "server_failed"), "{answer:?}");
+    assert_eq!(
+        outcome_and_code(&answer),
+        ("unknown", "server_failed"),
+        "{answer:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_non_idempotent_path_has_no_other_spelling() {
+async fn other_spellings_of_a_non_idempotent_path_do_not_bypass_its_rule() {
     let fleet = fleet(FleetSettings::default(), &contract_toml(1_000)).await;
     let url = fleet.caller_url(0);
     for path in [
@@ -235,7 +247,7 @@
         "plant/labels;v=1/print",
     ] {
         let answer = order(&url, path, "lot 6", "k").await;
-        assert_eq!(told(&answer), ("not-run", "bad_path"), "{path}");
+        assert_eq!(outcome_and_code(&answer), ("not-run", "bad_path"), "{path}");
     }
     for path in ["plant/labels/./print", "plant/labels/x/../print"] {
         // The HTTP library refuses these before the router sees them.
@@ -254,7 +266,7 @@
             .await;
         let answer = answer.expect("the router answers");
         assert_eq!(
-            told(&answer),
+            outcome_and_code(&answer),
             ("not-run", "idempotency_key_required"),
             "{path}"
         );
@@ -276,11 +288,14 @@
     fleet.apply_contract(&(contract + rule), 0).await;
     let (one, other) = (fleet.caller_url(0), fleet.caller_url(1));
     let first = chat(&one, chat_body("dispatch", true), Some("truck")).await;
-    assert_eq!(told(&first), ("complete", ""), "{first:?}");
+    assert_eq!(outcome_and_code(&first), ("complete", ""), "{first:?}");
     let again = chat(&other, chat_body("dispatch", true), Some("truck")).await;
-    assert_eq!((told(&again), &again.body), (("complete", ""), &first.body));
+    assert_eq!(
+        (outcome_and_code(&again), &again.body),
+        (("complete", ""), &first.body)
+    );
     assert_eq!(again.completion_tokens, 6);
-    // A cut leaves the claim: no second run, whoever asks.
+    // A cut stream leaves the claim, so the order does not run again at any router.
     let cut = EngineFaults {
         cut_streams: 1,
         cut_after_tokens: 2,
@@ -288,10 +303,18 @@
     };
     fleet.set_faults(server(&fleet, "engine-2"), &cut).await;
     let broken = chat(&one, chat_body("dispatch", true), Some("truck-2")).await;
-    assert_eq!(told(&broken), ("unknown", "server_failed"), "{broken:?}");
+    assert_eq!(
+        outcome_and_code(&broken),
+        ("unknown", "server_failed"),
+        "{broken:?}"
+    );
     let repeat = chat(&other, chat_body("dispatch", true), Some("truck-2")).await;
-    assert_eq!(told(&repeat), ("unknown", "already_claimed"), "{repeat:?}");
-    // A server that did not start it leaves no claim.
+    assert_eq!(
+        outcome_and_code(&repeat),
+        ("unknown", "already_claimed"),
+        "{repeat:?}"
+    );
+    // No claim remains of an order that the server did not start.
     let refuse = EngineFaults {
         refuse: 10,
         ..EngineFaults::default()
@@ -302,7 +325,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stream_with_a_cut_a_foreign_piece_or_a_standstill_goes_on_elsewhere() {
+async fn a_stream_with_a_cut_a_foreign_event_or_a_stall_is_resumed_elsewhere() {
     let fleet = fleet(FleetSettings::default(), &contract_toml(1_000)).await;
     let url = fleet.caller_url(0);
     let whole = chat(&url, chat_body("assistant", true), None).await;
@@ -323,7 +346,7 @@
             crossed: 1,
             ..base.clone()
         },
-        // Ten times the deadline: only giving up on it early saves the answer.
+        // Ten times the deadline: the answer is only complete if the router abandons it early.
         EngineFaults {
             stalled_streams: 1,
             stall_ms: 200_000,
@@ -331,14 +354,14 @@
         },
     ];
     for (index, fault) in faults.into_iter().enumerate() {
-        // Another router for each: a new router's retry budget is small.
+        // Another router for each fault, as the retry budget of a new router is small.
         let url = fleet.caller_url(index % 3);
         for engine in ["engine-0", "engine-1"] {
             fleet.set_faults(server(&fleet, engine), &fault).await;
         }
         let answer = chat(&url, chat_body("assistant", true), None).await;
         assert_eq!(
-            (told(&answer), &answer.body),
+            (outcome_and_code(&answer), &answer.body),
             (("complete", ""), &whole.body),
             "{fault:?}"
         );
@@ -350,7 +373,7 @@
             let count = line.strip_prefix("sapphiretrack_crossed_replies_total ");
             count.is_some_and(|count| count.parse::<u64>().is_ok_and(|count| count >= 1))
         });
-        assert!(counted, "crossed replies are counted: {metrics}");
+        assert!(counted, "crossed replies are not counted: {metrics}");
     }
 }
 
@@ -378,11 +401,11 @@
         async move { chat(&url, chat_body("assistant", true), None).await }
     });
     fleet
-        .wait_status_of(0, "both are in flight", |status| status.in_flight == 2)
+        .wait_status_of(0, "both requests in flight", |status| status.in_flight == 2)
         .await;
     fleet.routers[0].process.signal("TERM").await;
     fleet
-        .wait_status_of(1, "the stop is known", |status| {
+        .wait_status_of(1, "the stop known to the other router", |status| {
             status
                 .routers
                 .iter()
@@ -392,7 +415,13 @@
     fleet.routers[0].process.signal("TERM").await;
     let old_address = chat(&url, chat_body("assistant", true), None).await;
     assert_eq!(old_address.outcome, "complete", "{old_address:?}");
-    assert_eq!(stream.await.expect("no panic").outcome, "complete");
-    assert_eq!(label.await.expect("no panic").outcome, "complete");
+    assert_eq!(
+        stream.await.expect("the task does not panic").outcome,
+        "complete"
+    );
+    assert_eq!(
+        label.await.expect("the task does not panic").outcome,
+        "complete"
+    );
     assert_eq!(fleet.routers[0].process.wait().await, Some(0));
 }
--- a/crates/sapphiretrack-tests/tests/paused_budget.rs
+++ b/crates/sapphiretrack-tests/tests/paused_budget.rs
@@ -1,4 +1,4 @@
-//! A customer's limits while the router that keeps its budget is paused, on processes.
+//! Limits of a customer while the router process that keeps its budget is paused.
 
 use std::time::{Duration, Instant};
 
@@ -29,15 +29,15 @@
 }
 
 /// The router that keeps the customer's budget.
-fn keeper(fleet: &Fleet) -> usize {
+fn budget_keeper(fleet: &Fleet) -> usize {
     let routers = fleet.routers.iter();
     let ids: Vec<RouterId> = routers
         .map(|router| RouterId::from_name(&router.vm.name))
         .collect();
     let key = ServerId(hash_parts(&[b"budget", CUSTOMER.as_bytes()]));
     let keeper = steward_of(key, &ids).expect("there are routers");
-    let place = ids.iter().position(|id| *id == keeper);
-    place.expect("it is one of them")
+    let index = ids.iter().position(|id| *id == keeper);
+    index.expect("the keeper is one of the routers")
 }
 
 /// Sends requests to the routers in turn; returns how many were complete.
@@ -50,7 +50,7 @@
     }
     let mut complete = 0;
     for request in requests {
-        let answer = request.await.expect("the request ends");
+        let answer = request.await.expect("the request does not panic");
         complete += usize::from(answer.outcome == "complete");
         let refused = answer.outcome == "not-run" && matches!(answer.status, 429 | 503);
         assert!(answer.outcome == "complete" || refused, "{answer:?}");
@@ -59,59 +59,69 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn requests_go_on_while_the_router_that_keeps_the_budget_is_paused() {
+async fn requests_continue_while_the_router_that_keeps_the_budget_is_paused() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     fleet.apply_contract(&contract_toml(100), 0).await;
-    let keeper = keeper(&fleet);
+    let keeper = budget_keeper(&fleet);
     let others: Vec<usize> = (0..3).filter(|router| *router != keeper).collect();
     let gap = Duration::from_millis(100);
     assert_eq!(send(&fleet, &others, 10, gap).await, 10);
     fleet.routers[keeper].process.signal("STOP").await;
     let complete = send(&fleet, &others, 20, gap).await;
     fleet.routers[keeper].process.signal("CONT").await;
-    assert_eq!(complete, 20, "some were refused");
+    assert_eq!(complete, 20, "some requests were refused");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_surge_through_a_pause_stays_within_the_contract_and_what_is_stated() {
+async fn a_surge_during_a_pause_stays_within_the_contract_and_the_emergency_share() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     let started = Instant::now();
     fleet.apply_contract(&contract_toml(10), 0).await;
-    let keeper = keeper(&fleet);
+    let keeper = budget_keeper(&fleet);
     let others: Vec<usize> = (0..3).filter(|router| *router != keeper).collect();
     let gap = Duration::from_millis(20);
     let before = send(&fleet, &others, 50, gap).await;
     fleet.routers[keeper].process.signal("STOP").await;
     let pause = Instant::now();
     let paused = send(&fleet, &others, 100, gap).await;
-    let part = EMERGENCY_SHARE * (20.0 + 10.0 * pause.elapsed().as_secs_f64());
+    let emergency = EMERGENCY_SHARE * (20.0 + 10.0 * pause.elapsed().as_secs_f64());
     fleet.routers[keeper].process.signal("CONT").await;
     let after = send(&fleet, &others, 100, gap).await;
-    // Two seconds' worth at once, a quarter more for the pause, and the rate.
+    // A burst of two seconds' worth, a quarter more for the pause, and the rate since.
     let allowed = 20.0 * (1.0 + EMERGENCY_SHARE) + 10.0 * started.elapsed().as_secs_f64();
-    println!("{before}, {paused} of {part:.1}, {after}, all of {allowed:.1}");
-    assert!(paused > 2, "no more than was held: {paused}");
-    assert!(paused as f64 <= part + 20.0 * HELD_SHARE, "{paused}");
+    println!(
+        "complete: {before} before the pause, {paused} of {emergency:.1} during it, \
+         {after} after it; {allowed:.1} allowed in all"
+    );
+    assert!(
+        paused > 2,
+        "no more than the routers already held: {paused}"
+    );
+    assert!(paused as f64 <= emergency + 20.0 * HELD_SHARE, "{paused}");
     assert!((before + paused + after) as f64 <= allowed);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_router_that_slept_gives_no_second_burst_out() {
+async fn a_budget_keeper_that_was_paused_grants_no_second_burst() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     fleet.apply_contract(&contract_toml(10), 0).await;
-    let keeper = keeper(&fleet);
+    let keeper = budget_keeper(&fleet);
     let others: Vec<usize> = (0..3).filter(|router| *router != keeper).collect();
     let gap = Duration::from_millis(20);
     send(&fleet, &others, 10, gap).await;
     fleet.routers[keeper].process.signal("STOP").await;
-    // Until another router keeps the budget and its bucket is full.
+    // Long enough that another router keeps the budget and its token bucket is full.
     tokio::time::sleep(Duration::from_secs(8)).await;
     let started = Instant::now();
     let before = send(&fleet, &others, 25, gap).await;
     fleet.routers[keeper].process.signal("CONT").await;
     let after = send(&fleet, &others, 75, gap).await;
-    // Two seconds' worth at once, an eighth more for each of two changes, and the rate.
+    // A burst of two seconds' worth, an eighth more for each of two changes of the keeper, and the
+    // rate since.
     let allowed = 20.0 * (1.0 + 2.0 * UNSURE_SHARE) + 10.0 * started.elapsed().as_secs_f64();
-    println!("{before}, {after} of {allowed:.1}");
+    println!(
+        "complete: {before} before the end of the pause, {after} after it; \
+         {allowed:.1} allowed in all"
+    );
     assert!((before + after) as f64 <= allowed, "{before}, {after}");
 }
--- a/crates/sapphiretrack-tests/tests/planned_stop.rs
+++ b/crates/sapphiretrack-tests/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops under callers that keep to their lookups' time to live.
+//! Planned stops while callers respect the time to live of their lookups.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,8 +13,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Longer than the lookups' time to live of a test fleet, shorter than a dead peer's time.
-const PAST_TTL: Duration = Duration::from_millis(700);
+/// Longer than the time to live of lookups in a test fleet, shorter than the time after which a
+/// peer counts as dead.
+const LATER_THAN_TTL: Duration = Duration::from_millis(700);
 
 async fn fleet(routers: usize) -> Fleet {
     let settings = FleetSettings {
@@ -34,7 +35,7 @@
     )
 }
 
-/// Reads one answer with a content length; what came of it if the connection broke.
+/// Reads one answer with a content length; if the connection breaks, describes how.
 async fn read_answer(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let mut buffer = [0; 4_096];
@@ -70,37 +71,47 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn requests_that_come_late_to_a_stopping_router_are_served() {
+async fn late_requests_to_a_stopping_router_are_served() {
     let mut fleet = fleet(1).await;
     let address: SocketAddr = fleet.routers[0].vm.address;
     let text = request_text();
     let (first_half, second_half) = text.split_at(text.len() / 2);
-    let mut kept = TcpStream::connect(address).await.expect("connects");
-    kept.write_all(text.as_bytes()).await.expect("is sent");
-    assert_complete("before the stop", &read_answer(&mut kept).await);
-    let mut silent = TcpStream::connect(address).await.expect("connects");
+    let mut reused = TcpStream::connect(address)
+        .await
+        .expect("the caller connects");
+    reused
+        .write_all(text.as_bytes())
+        .await
+        .expect("the request is sent");
+    assert_complete("before the stop", &read_answer(&mut reused).await);
+    let mut idle = TcpStream::connect(address)
+        .await
+        .expect("the caller connects");
     fleet.routers[0].process.signal("TERM").await;
     fleet.routers[0].process.wait_line("event=\"101\"").await;
-    kept.write_all(first_half.as_bytes())
+    reused
+        .write_all(first_half.as_bytes())
         .await
-        .expect("is sent");
-    tokio::time::sleep(PAST_TTL).await;
-    drop(kept.write_all(second_half.as_bytes()).await);
-    drop(silent.write_all(text.as_bytes()).await);
-    let kept = read_answer(&mut kept).await;
-    let silent = read_answer(&mut silent).await;
-    assert_complete("half a head on a kept connection", &kept);
-    assert_complete("a connection without a byte", &silent);
+        .expect("the request is sent");
+    tokio::time::sleep(LATER_THAN_TTL).await;
+    drop(reused.write_all(second_half.as_bytes()).await);
+    drop(idle.write_all(text.as_bytes()).await);
+    let reused_answer = read_answer(&mut reused).await;
+    let idle_answer = read_answer(&mut idle).await;
+    assert_complete("half a head on a reused connection", &reused_answer);
+    assert_complete("a connection without data before the stop", &idle_answer);
     let late = TcpStream::connect(address).await;
     let mut late = late.expect("a late caller connects");
-    late.write_all(text.as_bytes()).await.expect("is sent");
+    late.write_all(text.as_bytes())
+        .await
+        .expect("the request is sent");
     assert_complete("a late connection", &read_answer(&mut late).await);
     assert_eq!(fleet.routers[0].process.wait().await, Some(0));
 }
 
-/// Sends requests to the address of a lookup that is kept for its time to live, no longer, and
+/// Sends requests to `address` while a lookup that contains it is within its time to live, and
 /// returns how many were cut.
-async fn careful_caller(lookups: String, address: SocketAddr, stop: Arc<AtomicBool>) -> u64 {
+async fn run_caller(lookups: String, address: SocketAddr, stop: Arc<AtomicBool>) -> u64 {
     let (client, options) = (
         CallerClient::new(),
         RequestOptions {
@@ -113,13 +124,13 @@
         let Ok(reply) = client.entry(&lookups, None).await else {
             continue;
         };
-        let until = Instant::now() + Duration::from_millis(reply.ttl_ms);
+        let expires_at = Instant::now() + Duration::from_millis(reply.ttl_ms);
         if !reply.addresses.contains(&address.to_string()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         }
         let url = format!("http://{address}");
-        while Instant::now() < until {
+        while Instant::now() < expires_at {
             let path = "plant/pallets/7";
             let answered = client
                 .service(&url, Method::GET, path, Bytes::new(), &options)
@@ -134,7 +145,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_stop_cuts_no_caller_that_keeps_to_its_lookups() {
+async fn a_planned_stop_cuts_no_caller_that_respects_the_time_to_live_of_lookups() {
     const CALLERS: usize = 32;
     const ROUNDS: usize = 2;
     let mut fleet = fleet(2).await;
@@ -142,7 +153,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let (lookups, address) = (fleet.caller_url(0), fleet.routers[1].vm.address);
         let callers: Vec<_> = (0..CALLERS)
-            .map(|_| tokio::spawn(careful_caller(lookups.clone(), address, stop.clone())))
+            .map(|_| tokio::spawn(run_caller(lookups.clone(), address, stop.clone())))
             .collect();
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.routers[1].process.signal("TERM").await;
@@ -150,7 +161,7 @@
         stop.store(true, Ordering::Relaxed);
         let mut cut = 0;
         for caller in callers {
-            cut += caller.await.expect("no panic");
+            cut += caller.await.expect("the caller does not panic");
         }
         assert_eq!((code, cut), (Some(0), 0), "round {round}");
         fleet.routers.pop();
--- a/crates/sapphiretrack-tests/tests/soak.rs
+++ b/crates/sapphiretrack-tests/tests/soak.rs
@@ -1,12 +1,12 @@
-//! A short soak: a bounded number of requests and faults from a fixed seed.
+//! A short soak test with a bounded number of requests and faults and a fixed seed.
 //!
-//! Its plan has kills, pauses and planned stops of routers, lost and crossed replies, restarts of
-//! engines, outages of the platform and racing operators.
+//! The faults include kills, pauses and planned stops of routers, lost and crossed replies,
+//! restarts of engines, outages of the platform and conflicting changes of operators.
 
 use sapphiretrack_tests::ChildProcess;
 
 #[tokio::test]
-async fn a_short_soak_breaks_no_promise() {
+async fn a_short_soak_violates_no_guarantee() {
     let arguments = [
         "soak",
         "--seed=1376",
--- a/crates/sapphiretrack-tests/tests/steward_changes.rs
+++ b/crates/sapphiretrack-tests/tests/steward_changes.rs
@@ -1,4 +1,5 @@
-//! The router that counts the slots of a pool's only server goes: no request is refused for it.
+//! No request is refused because the steward of a pool's only server, the router that counts its
+//! slots, stops or is killed.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml};
 
-/// Enough to meet the change, and the time after it.
+/// Enough to cover the change of the steward and the time after it.
 const CHATS: usize = 40;
 
 async fn chat(url: &str) -> ReadAnswer {
@@ -35,22 +36,27 @@
     fleet
 }
 
-/// The steward of the engine, and the URL of a router that is not it and can reach it.
+/// The index of the steward of the engine, and the URL of another router that already gets slots
+/// from it.
 async fn steward_and_entry(fleet: &Fleet) -> (usize, String) {
     let engine = &fleet.servers[0].vm.name;
-    let status = fleet.operator(0).status().await.expect("a status");
+    let status = fleet
+        .operator(0)
+        .status()
+        .await
+        .expect("the router answers");
     let mut servers = status.servers.iter();
     let line = servers.find(|line| line.name == *engine);
-    let name = &line.expect("the engine is there").steward;
+    let name = &line.expect("the router knows the engine").steward;
     let mut routers = fleet.routers.iter();
     let steward = routers.position(|router| router.vm.name == *name);
-    let steward = steward.expect("the steward is there");
+    let steward = steward.expect("the steward is one of the routers");
     let url = fleet.caller_url((steward + 1) % fleet.routers.len());
     while chat(&url).await.outcome != "complete" {}
     (steward, url)
 }
 
-async fn chat_on(url: &str, chats: usize) {
+async fn expect_complete_chats(url: &str, chats: usize) {
     for number in 0..chats {
         let answer = chat(url).await;
         assert_eq!(answer.outcome, "complete", "chat {number}: {answer:?}");
@@ -63,7 +69,7 @@
     let (steward, url) = steward_and_entry(&fleet).await;
     let mut killed = fleet.routers.remove(steward);
     killed.process.kill().await;
-    chat_on(&url, CHATS).await;
+    expect_complete_chats(&url, CHATS).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -72,21 +78,21 @@
     let (steward, url) = steward_and_entry(&fleet).await;
     let mut leaving = fleet.routers.remove(steward);
     leaving.process.signal("TERM").await;
-    chat_on(&url, CHATS).await;
+    expect_complete_chats(&url, CHATS).await;
     assert_eq!(leaving.process.wait().await, Some(0));
-    chat_on(&url, CHATS).await;
+    expect_complete_chats(&url, CHATS).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn routers_that_all_leave_at_once_go_on_granting() {
+async fn routers_that_all_leave_at_once_continue_to_grant_slots() {
     let fleet = start(20_000).await;
     let (_, url) = steward_and_entry(&fleet).await;
     for router in &fleet.routers {
         router.process.signal("TERM").await;
     }
     for _ in 0..CHATS {
-        chat_on(&url, 1).await;
-        // Longer altogether than consents last.
+        expect_complete_chats(&url, 1).await;
+        // The pauses add up to more than the time for which a consent to a steward is valid.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
--- a/crates/sapphiretrack-tests/tests/thin_path.rs
+++ b/crates/sapphiretrack-tests/tests/thin_path.rs
@@ -1,5 +1,5 @@
-//! The whole path in separate processes: platform, engines, a plain service, routers, the
-//! command-line tool.
+//! End-to-end requests through separate processes: platform, engines, a plain service, routers and
+//! the command-line tool.
 
 use bytes::Bytes;
 use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
@@ -17,7 +17,7 @@
 }
 
 fn chat_body(stream: bool) -> Bytes {
-    // Long enough that computing it again costs more than a short queue.
+    // Long enough that computing it again costs more than waiting in a short queue.
     let notes = "conching notes of line four; ".repeat(300);
     let body = serde_json::json!({
         "model": "assistant",
@@ -35,12 +35,12 @@
     answer.expect("the router answers")
 }
 
-fn words(answer: &ReadAnswer) -> usize {
+fn word_count(answer: &ReadAnswer) -> usize {
     answer.body.split_whitespace().count()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_gets_its_whole_answer_through_every_router() {
+async fn a_caller_gets_its_complete_answer_through_every_router() {
     let fleet = Fleet::start(FleetSettings::default()).await;
     fleet.apply_contract(&contract_toml(1_000), 0).await;
     let client = CallerClient::new();
@@ -48,7 +48,7 @@
     let entry = client
         .entry(&fleet.caller_url(0), Some("zone-1"))
         .await
-        .expect("a lookup");
+        .expect("the router answers");
     assert_eq!(entry.addresses.len(), 3);
     assert_eq!(entry.addresses[0], fleet.routers[1].vm.address.to_string());
 
@@ -60,12 +60,12 @@
             (200, "complete"),
             "{answer:?}"
         );
-        assert_eq!(words(&answer), 12);
+        assert_eq!(word_count(&answer), 12);
         bodies.push(answer.body);
     }
     assert!(
         bodies.iter().all(|body| *body == bodies[0]),
-        "answers match: {bodies:?}"
+        "the answers differ: {bodies:?}"
     );
 
     let whole = chat(&fleet, 0, false, "chat-0").await;
@@ -74,7 +74,7 @@
         (200, "complete"),
         "{whole:?}"
     );
-    let value: serde_json::Value = serde_json::from_str(&whole.body).expect("JSON");
+    let value: serde_json::Value = serde_json::from_str(&whole.body).expect("the answer is JSON");
     assert_eq!(
         value["choices"][0]["message"]["content"],
         bodies[0].as_str()
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_returning_chat_lands_warm_by_the_callers_value() {
+async fn a_returning_chat_with_its_warm_value_finds_its_prompt_cached() {
     let fleet = Fleet::start(FleetSettings {
         engines: 3,
         ..FleetSettings::default()
@@ -112,14 +112,14 @@
         let first = client
             .chat(&url, chat_body(true), &options, |_| {})
             .await
-            .expect("an answer");
+            .expect("the router answers");
         assert_eq!(first.cached_tokens, 0);
         options.warm = first.warm;
         let url = fleet.caller_url((number + 1) % 3);
         let second = client
             .chat(&url, chat_body(true), &options, |_| {})
             .await
-            .expect("an answer");
+            .expect("the router answers");
         assert_eq!(
             second.cached_tokens, second.prompt_tokens,
             "chat {number} is cold"
@@ -173,17 +173,20 @@
         .operator(0)
         .stop()
         .await
-        .expect("the router takes the stop");
+        .expect("the router accepts the stop");
     let answer = running
         .await
-        .expect("the task ends")
+        .expect("the task does not panic")
         .expect("the stream is not cut");
-    assert_eq!((answer.outcome.as_str(), words(&answer)), ("complete", 12));
+    assert_eq!(
+        (answer.outcome.as_str(), word_count(&answer)),
+        ("complete", 12)
+    );
     assert_eq!(fleet.routers[0].process.wait().await, Some(0));
     let entry = CallerClient::new()
         .entry(&fleet.caller_url(1), None)
         .await
-        .expect("a lookup");
+        .expect("the router answers");
     assert!(
         !entry
             .addresses
@@ -204,7 +207,7 @@
     let refused = client
         .service(&url, post.clone(), path, order(), &options)
         .await
-        .expect("an answer");
+        .expect("the router answers");
     assert_eq!((refused.status, refused.outcome.as_str()), (400, "not-run"));
     options.idempotency_key = Some(String::from("order-17"));
     let mut bodies = Vec::new();
@@ -213,7 +216,7 @@
         let answer = client
             .service(&url, post.clone(), path, order(), &options)
             .await
-            .expect("an answer");
+            .expect("the router answers");
         assert_eq!(
             (answer.status, answer.outcome.as_str()),
             (200, "complete"),
--- a/crates/sapphiretrack-tests/tests/tls.rs
+++ b/crates/sapphiretrack-tests/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Callers and operators by TLS.
+//! TLS connections of callers and operators.
 
 use std::path::{Path, PathBuf};
 
@@ -7,7 +7,7 @@
 use sapphiretrack_tests::{ChildProcess, OPERATOR_KEY};
 use sapphiretrack_tls::Trust;
 
-/// A folder with a certificate of 127.0.0.1 and its key.
+/// A temporary folder with a self-signed certificate for 127.0.0.1 and its key.
 struct Certificate {
     folder: PathBuf,
 }
@@ -15,12 +15,16 @@
 impl Certificate {
     fn new() -> Self {
         let folder = std::env::temp_dir().join(format!("sapphiretrack-tls-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("the folder is made");
+        std::fs::create_dir_all(&folder).expect("the folder is created");
         let names = vec![String::from("127.0.0.1")];
-        let made = rcgen::generate_simple_self_signed(names).expect("a certificate");
-        std::fs::write(folder.join("cert.pem"), made.cert.pem()).expect("it is written");
-        std::fs::write(folder.join("key.pem"), made.signing_key.serialize_pem())
-            .expect("it is written");
+        let generated =
+            rcgen::generate_simple_self_signed(names).expect("the certificate is generated");
+        std::fs::write(folder.join("cert.pem"), generated.cert.pem()).expect("the file is written");
+        std::fs::write(
+            folder.join("key.pem"),
+            generated.signing_key.serialize_pem(),
+        )
+        .expect("the file is written");
         Self { folder }
     }
 
@@ -52,8 +56,14 @@
     let router = ChildProcess::start("sapphiretrackd", &arguments);
     let line = router.wait_line("event=\"100\"").await;
     let field = |name: &str| {
-        let start = line.find(&format!(" {name}=\"")).expect("the field") + name.len() + 3;
-        let length = line[start..].find('"').expect("its end");
+        let start = line
+            .find(&format!(" {name}=\""))
+            .expect("the line has the field")
+            + name.len()
+            + 3;
+        let length = line[start..]
+            .find('"')
+            .expect("the field ends with a quote");
         format!("https://{}", &line[start..start + length])
     };
     let (callers, operators) = (field("callers"), field("operators"));
@@ -73,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn callers_and_operators_connect_by_tls_to_what_they_trust() {
+async fn callers_and_operators_connect_by_tls_to_routers_that_they_trust() {
     let certificate = Certificate::new();
     let (_router, callers, operators) = start_router(&certificate).await;
 
@@ -93,8 +103,8 @@
         Some(2)
     );
 
-    let trust = Trust::from_pem_file(&certificate.cert()).expect("a good file");
+    let trust = Trust::from_pem_file(&certificate.cert()).expect("the file is a certificate");
     let entry = CallerClient::with_trust(&trust).entry(&callers, None).await;
-    entry.expect("a lookup by TLS");
+    entry.expect("the router answers by TLS");
     assert!(CallerClient::new().entry(&callers, None).await.is_err());
 }
--- a/crates/sapphiretrack-tests/tests/tool.rs
+++ b/crates/sapphiretrack-tests/tests/tool.rs
@@ -1,15 +1,15 @@
-//! What the operators' tool says and exits with when it has to wait for the fleet.
+//! Output and exit codes of the operators' command-line tool when it waits for the fleet.
 
 use sapphiretrack_tests::{ChildProcess, Fleet, FleetSettings, OPERATOR_KEY};
 
-/// Runs `sapphiretrack status` against a router; returns the exit code and what was printed.
-async fn status(router_url: &str, more: &[&str]) -> (Option<i32>, String) {
+/// Runs `sapphiretrack status` against a router; returns the exit code and the output.
+async fn status(router_url: &str, extra_arguments: &[&str]) -> (Option<i32>, String) {
     let mut arguments = vec![
         String::from("status"),
         format!("--router={router_url}"),
         format!("--operator-key={OPERATOR_KEY}"),
     ];
-    arguments.extend(more.iter().map(|&argument| argument.to_owned()));
+    arguments.extend(extra_arguments.iter().map(|&argument| argument.to_owned()));
     let mut tool = ChildProcess::start("sapphiretrack", &arguments);
     let code = tool.wait().await;
     (code, tool.wait_lines().await.join("\n"))
@@ -21,8 +21,8 @@
     let url = fleet.operator_url(0);
     let (code, text) = status(&url, &["--wait", "--routers=3", "--servers=3"]).await;
     assert_eq!(code, Some(0), "{text}");
-    let many = ["--wait", "--routers=4", "--wait-limit-ms=300"];
-    let (code, text) = status(&url, &many).await;
+    let too_many = ["--wait", "--routers=4", "--wait-limit-ms=300"];
+    let (code, text) = status(&url, &too_many).await;
     assert_eq!(code, Some(5), "{text}");
     assert!(text.contains("3 of 4 routers"), "{text}");
     let (code, text) = status(&url, &["--servers=3"]).await;
--- a/crates/sapphiretrack-tests/tests/warm_memory.rs
+++ b/crates/sapphiretrack-tests/tests/warm_memory.rs
@@ -1,4 +1,4 @@
-//! What routers know of warm chats survives a router that goes: planned, killed or restarted.
+//! Routers still know where chats are warm after a router stops as planned, is killed or restarts.
 
 use std::time::Duration;
 
@@ -8,19 +8,21 @@
 use sapphiretrack_platform::{PlatformClient, Settings, WarmPart, WarmStore};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml};
 
-/// Chats of a test; without knowledge some are sent where they are cold.
+/// Number of chats of a test; enough that without the placement memory some are sent to an engine
+/// on which they are cold.
 const CHATS: usize = 12;
-const PARTS: [(WarmPart, &str); 2] = [(WarmPart::Base, "base"), (WarmPart::Recent, "recent")];
+const SNAPSHOT_PARTS: [(WarmPart, &str); 2] =
+    [(WarmPart::Base, "base"), (WarmPart::Recent, "recent")];
 
-/// Sends a chat, and expects a whole answer.
+/// Sends a chat that must be answered completely.
 async fn chat(url: &str, name: &str, warm: Option<String>) -> ReadAnswer {
-    let answer = ask(url, name, warm).await;
+    let answer = try_chat(url, name, warm).await;
     assert_eq!(answer.outcome, "complete", "{answer:?}");
     answer
 }
 
 /// Sends a chat.
-async fn ask(url: &str, name: &str, warm: Option<String>) -> ReadAnswer {
+async fn try_chat(url: &str, name: &str, warm: Option<String>) -> ReadAnswer {
     let body = serde_json::json!({
         "model": "assistant",
         "stream": true,
@@ -40,42 +42,43 @@
     answer.expect("the router answers")
 }
 
-/// The value that names an engine of the fleet.
-fn named(fleet: &Fleet, engine: usize) -> String {
+/// A warm value that names an engine of the fleet.
+fn warm_value(fleet: &Fleet, engine: usize) -> String {
     let id = ServerId::from_name(&fleet.servers[engine].vm.name);
     format!("{:016x}.{:016x}.384", id.0, engine + 1)
 }
 
-/// Serves each chat on an engine that its caller names, so that many are away from their home.
-async fn warm_chats(fleet: &Fleet, router: usize) {
+/// Sends each chat with a warm value that names an engine, so that many are served away from their
+/// home.
+async fn serve_chats_on_named_engines(fleet: &Fleet, router: usize) {
     for number in 0..CHATS {
-        let warm = named(fleet, number % 2);
+        let warm = warm_value(fleet, number % 2);
         let name = format!("chat-{number}");
         chat(&fleet.caller_url(router), &name, Some(warm)).await;
     }
 }
 
-/// Waits until a router places on both engines: after a loss their slots are counted anew, and
-/// until then chats are refused as not run.
+/// Waits until a router places chats on both engines. After the loss of a router their slots are
+/// counted anew, and until then chats are refused as not run.
 async fn wait_both_engines(fleet: &Fleet, router: usize) {
     for engine in 0..2 {
-        let warm = named(fleet, engine);
+        let warm = warm_value(fleet, engine);
         let waited = tokio::time::timeout(Duration::from_secs(30), async {
             for number in 0.. {
                 let name = format!("other-{engine}-{number}");
                 let url = fleet.caller_url(router);
-                let served = ask(&url, &name, Some(warm.clone())).await.warm;
+                let served = try_chat(&url, &name, Some(warm.clone())).await.warm;
                 if served.is_some_and(|served| served[..16] == warm[..16]) {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         });
-        assert!(waited.await.is_ok(), "nothing is placed on engine {engine}");
+        assert!(waited.await.is_ok(), "no chat is placed on engine {engine}");
     }
 }
 
-/// The chats that return without a value and find nothing of their prefix.
+/// Sends the chats again without a warm value; returns those of whose prefix nothing was cached.
 async fn cold_chats(fleet: &Fleet, router: usize) -> Vec<usize> {
     wait_both_engines(fleet, router).await;
     let mut cold = Vec::new();
@@ -108,7 +111,7 @@
     })
 }
 
-/// Waits until the snapshot of `router-0` holds all chats and both parts are there.
+/// Waits until both parts of the snapshot of `router-0` exist and one of them contains all chats.
 async fn wait_written(fleet: &Fleet) {
     let store = WarmStore::new(platform(fleet));
     let router = RouterId::from_name("router-0");
@@ -127,18 +130,18 @@
     assert!(waited.await.is_ok(), "the snapshot is not written");
 }
 
-/// Waits for both lines of an event about the snapshot of `router-0`.
+/// Waits until a router has logged an event for both parts of the snapshot of `router-0`.
 async fn wait_event(fleet: &Fleet, router: usize, number: u16) {
-    for (_, part) in PARTS {
+    for (_, part) in SNAPSHOT_PARTS {
         let text = format!("event=\"{number}\" router=\"router-0\" part=\"{part}\"");
         fleet.routers[router].process.wait_line(&text).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn chats_of_a_router_that_stops_as_planned_find_their_prefix_warm_at_the_next() {
+async fn chats_of_a_router_that_stops_as_planned_are_warm_at_its_peers() {
     let mut fleet = start(3, 0).await;
-    warm_chats(&fleet, 0).await;
+    serve_chats_on_named_engines(&fleet, 0).await;
     fleet.routers[0].process.signal("TERM").await;
     assert_eq!(fleet.routers[0].process.wait().await, Some(0));
     let lines = fleet.routers[0].process.wait_lines().await.join("\n");
@@ -147,14 +150,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_peer_that_stands_still_holds_up_no_planned_stop() {
+async fn a_paused_peer_does_not_delay_a_planned_stop() {
     let mut fleet = start(3, 0).await;
-    warm_chats(&fleet, 0).await;
+    serve_chats_on_named_engines(&fleet, 0).await;
     fleet.routers[2].process.signal("STOP").await;
     fleet.routers[0].process.signal("TERM").await;
-    // A guard against a hang, not a measure.
-    let guard = Duration::from_secs(30);
-    let stopped = tokio::time::timeout(guard, fleet.routers[0].process.wait()).await;
+    // Only guards against a hang.
+    let stop_timeout = Duration::from_secs(30);
+    let stopped = tokio::time::timeout(stop_timeout, fleet.routers[0].process.wait()).await;
     fleet.routers[2].process.signal("CONT").await;
     assert_eq!(stopped.ok().flatten(), Some(0));
     let cold = cold_chats(&fleet, 1).await;
@@ -162,9 +165,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn chats_of_a_killed_router_find_their_prefix_warm_at_its_peers() {
+async fn chats_of_a_killed_router_are_warm_at_its_peers() {
     let mut fleet = start(3, 300).await;
-    warm_chats(&fleet, 0).await;
+    serve_chats_on_named_engines(&fleet, 0).await;
     wait_written(&fleet).await;
     fleet.routers[0].process.kill().await;
     wait_event(&fleet, 1, 521).await;
@@ -173,9 +176,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_router_that_is_killed_and_restarted_knows_its_warm_chats_again() {
+async fn a_killed_router_knows_its_warm_chats_after_a_restart() {
     let mut fleet = start(1, 300).await;
-    warm_chats(&fleet, 0).await;
+    serve_chats_on_named_engines(&fleet, 0).await;
     wait_written(&fleet).await;
     fleet.restart_router(0).await;
     wait_event(&fleet, 0, 521).await;
@@ -185,27 +188,30 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_damaged_snapshot_is_logged_and_costs_no_answer() {
+async fn a_damaged_snapshot_is_logged_and_all_chats_are_still_answered() {
     let mut fleet = start(1, 300).await;
-    warm_chats(&fleet, 0).await;
+    serve_chats_on_named_engines(&fleet, 0).await;
     wait_written(&fleet).await;
     fleet.routers[0].process.kill().await;
     let platform = platform(&fleet);
-    for (_, part) in PARTS {
+    for (_, part) in SNAPSHOT_PARTS {
         let name = format!(
             "placement-memory-{:016x}-{part}",
             RouterId::from_name("router-0").0
         );
-        let object = platform.get_object(&name).await.expect("a reply");
-        let mut damaged = object.expect("it is there").to_vec();
+        let object = platform
+            .get_object(&name)
+            .await
+            .expect("the platform answers");
+        let mut damaged = object.expect("the object exists").to_vec();
         let last = damaged.len() - 1;
         damaged[last] ^= 1;
         let put = platform.put_object(&name, Bytes::from(damaged)).await;
-        put.expect("it is stored");
+        put.expect("the object is written");
     }
     fleet.restart_router(0).await;
     wait_event(&fleet, 0, 523).await;
     fleet.wait_settled().await;
-    // Every chat is answered; what was known is not.
+    // Every chat is answered, but the router does not know where they are warm any more.
     assert!(!cold_chats(&fleet, 0).await.is_empty());
 }
