--- a/crates/sapphiretrack-bench/src/demo/callers.rs
+++ b/crates/sapphiretrack-bench/src/demo/callers.rs
@@ -1,4 +1,4 @@
-//! The demo's callers: returning chats from several workspaces, and label orders.
+//! The callers of the demo: multi-turn chats from several workspaces, and label orders.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -13,22 +13,22 @@
 use crate::demo::tally::Tally;
 use crate::site::CALLER_KEY;
 
-/// Workspaces and how many chats each keeps going; the first one is large and surges.
+/// Number of concurrent chats per workspace; the first workspace is the largest and gets the surge.
 const CHATS_BY_WORKSPACE: [usize; 6] = [16, 4, 4, 3, 3, 2];
-/// Chats that join the first workspace in the surge.
+/// Number of chats that the surge adds to the first workspace.
 const SURGE_CHATS: usize = 40;
-/// Callers that order labels.
+/// Number of callers that order labels.
 const LABEL_CALLERS: usize = 4;
-/// The share of callers that do not send the warm value back.
-const FORGETFUL_SHARE: f64 = 0.25;
-/// Words that each turn adds to a chat; about 7 bytes each.
+/// Share of chats that never return the warm value of earlier answers.
+const NO_WARM_VALUE_SHARE: f64 = 0.25;
+/// Words that each turn adds to a chat. A word has 10 to 13 bytes.
 const WORDS_PER_TURN: usize = 300;
-/// Tokens of an answer.
+/// Number of tokens per answer.
 const ANSWER_TOKENS: u32 = 40;
-/// The deadline of the demo's slowest class.
+/// Deadline of the slowest class in the demo's contract.
 const DEADLINE: Duration = Duration::from_secs(15);
 
-/// Who calls, and until when.
+/// The seed, the entry routers and the schedule of the callers. Times count from the start.
 pub(crate) struct CallerPlan {
     pub(crate) seed: u64,
     pub(crate) entries: Vec<String>,
@@ -36,7 +36,7 @@
     pub(crate) end: Duration,
 }
 
-/// One caller with its own view of where to connect.
+/// A caller with its own cached lookup of the router addresses.
 struct Caller {
     rng: StdRng,
     http: CallerClient,
@@ -46,7 +46,7 @@
     end: Instant,
 }
 
-/// Runs all callers until the end of the plan.
+/// Runs all callers until the plan's end; the surge's chats stop when the surge ends.
 pub(crate) async fn run_callers(plan: CallerPlan, started: Instant, tally: Arc<Tally>) {
     let entries = Arc::new(plan.entries);
     let mut seeds = StdRng::seed_from_u64(plan.seed);
@@ -62,22 +62,22 @@
     for (workspace, chats) in CHATS_BY_WORKSPACE.into_iter().enumerate() {
         for number in 0..chats {
             let name = format!("chat-{workspace}-{number}");
-            tasks.spawn(caller(plan.end).keep_chatting(workspace, name, Duration::ZERO));
+            tasks.spawn(caller(plan.end).run_chat(workspace, name, Duration::ZERO));
         }
     }
     for number in 0..SURGE_CHATS {
         let name = format!("surge-{number}");
-        tasks.spawn(caller(plan.surge.end).keep_chatting(0, name, plan.surge.start));
+        tasks.spawn(caller(plan.surge.end).run_chat(0, name, plan.surge.start));
     }
     for number in 0..LABEL_CALLERS {
-        tasks.spawn(caller(plan.end).keep_ordering(number));
+        tasks.spawn(caller(plan.end).run_label_orders(number));
     }
     while tasks.join_next().await.is_some() {}
 }
 
 impl Caller {
-    /// A chat that returns again and again, each time with a longer history.
-    async fn keep_chatting(mut self, workspace: usize, name: String, start_after: Duration) {
+    /// Sends the turns of a chat, each with a longer history, until `self.end`.
+    async fn run_chat(mut self, workspace: usize, name: String, start_after: Duration) {
         tokio::time::sleep(start_after).await;
         let mut options = RequestOptions {
             key: CALLER_KEY.to_owned(),
@@ -86,7 +86,7 @@
             class: (workspace == 1).then(|| String::from("urgent")),
             ..RequestOptions::default()
         };
-        let forgetful = self.rng.random_bool(FORGETFUL_SHARE);
+        let drops_warm_value = self.rng.random_bool(NO_WARM_VALUE_SHARE);
         let mut history = String::new();
         let mut turn = 0;
         let mut seen_tokens = 0;
@@ -99,35 +99,36 @@
                 "max_tokens": ANSWER_TOKENS,
                 "messages": messages,
             });
-            let url = self.router().await;
+            let url = self.router_url().await;
             let sent = Instant::now();
             let body = Bytes::from(body.to_string());
             let result = self.http.chat(&url, body, &options, |_| {}).await;
             let on_time = sent.elapsed() <= DEADLINE;
             match result {
                 Ok(answer) if answer.outcome == "complete" => {
-                    let own = answer.body == expected_answer(&messages, ANSWER_TOKENS);
-                    self.tally.whole(&answer, own, on_time, seen_tokens);
+                    let correct = answer.body == expected_answer(&messages, ANSWER_TOKENS);
+                    self.tally
+                        .record_complete(&answer, correct, on_time, seen_tokens);
                     seen_tokens = answer.prompt_tokens;
-                    if !forgetful {
+                    if !drops_warm_value {
                         options.warm = answer.warm;
                     }
                     turn += 1;
                 }
                 Ok(answer) => {
-                    self.tally.refused(&answer);
+                    self.tally.record_refusal(&answer);
                     let retry_after = Duration::from_secs(answer.retry_after_s.unwrap_or(0));
                     tokio::time::sleep(retry_after).await;
                 }
-                Err(error) => self.tally.failed(&error),
+                Err(error) => self.tally.record_error(&error),
             }
             let pause_ms = self.rng.random_range(100..500);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
         }
     }
 
-    /// Orders labels, each one twice, as an impatient caller would.
-    async fn keep_ordering(mut self, number: usize) {
+    /// Orders labels until `self.end`. Each order is sent twice with the same idempotency key.
+    async fn run_label_orders(mut self, number: usize) {
         let mut order = 0;
         while Instant::now() < self.end {
             let body = Bytes::from(format!("{{\"label\":\"{number}-{order}\"}}"));
@@ -137,7 +138,7 @@
                 ..RequestOptions::default()
             };
             for _ in 0..2 {
-                let url = self.router().await;
+                let url = self.router_url().await;
                 let path = "plant/labels/print";
                 let post = http::Method::POST;
                 let result = self
@@ -145,9 +146,9 @@
                     .service(&url, post, path, body.clone(), &options)
                     .await;
                 match result {
-                    Ok(answer) if answer.status == 200 => self.tally.ordered(),
-                    Ok(answer) => self.tally.refused(&answer),
-                    Err(error) => self.tally.failed(&error),
+                    Ok(answer) if answer.status == 200 => self.tally.record_order(),
+                    Ok(answer) => self.tally.record_refusal(&answer),
+                    Err(error) => self.tally.record_error(&error),
                 }
             }
             order += 1;
@@ -155,8 +156,8 @@
         }
     }
 
-    /// The router to use now: the lookup is kept for its time to live.
-    async fn router(&mut self) -> String {
+    /// Returns the URL of the router to use. The lookup is cached for its time to live.
+    async fn router_url(&mut self) -> String {
         loop {
             if let Some((entry, at)) = &self.lookup
                 && at.elapsed() < Duration::from_millis(entry.ttl_ms)
--- a/crates/sapphiretrack-bench/src/demo/mod.rs
+++ b/crates/sapphiretrack-bench/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The demo: the whole of it in one process on embedded stand-ins, within a minute.
+//! The demo: routers, fake servers and callers in one process, in less than a minute.
 
 mod callers;
 mod sample;
@@ -16,34 +16,34 @@
 use crate::run::{block_on, check_all_read};
 use crate::site::{Site, SiteSettings};
 
-/// The seed if none is given.
+/// The seed if `--seed` is absent.
 const DEFAULT_SEED: u64 = 1;
-/// How long after it says so a leaving engine may still get new work.
+/// How long an engine may still receive new requests after it announces that it is leaving.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
-/// When things happen, from the start.
+// Times of the events, from the start of the callers.
 const JOIN_AT: Duration = Duration::from_secs(4);
 const SURGE_AT: Duration = Duration::from_secs(8);
 const LEAVE_AT: Duration = Duration::from_secs(13);
 const STOP_AT: Duration = Duration::from_secs(18);
 const END_AT: Duration = Duration::from_secs(25);
 
-/// Runs the demo; an error says which promises did not hold.
+/// Runs the demo. The error names the guarantees that were violated, or what failed.
 pub fn run(mut arguments: Arguments) -> Result<(), String> {
     let seed: Option<u64> = arguments
         .opt_value_from_str("--seed")
         .map_err(|error| error.to_string())?;
     check_all_read(arguments)?;
-    block_on(4, show(seed.unwrap_or(DEFAULT_SEED)))
+    block_on(4, run_demo(seed.unwrap_or(DEFAULT_SEED)))
 }
 
-async fn show(seed: u64) -> Result<(), String> {
+async fn run_demo(seed: u64) -> Result<(), String> {
     eprintln!("seed {seed}");
     let mut site = Site::start(SiteSettings::default()).await?;
     let tally = Arc::new(Tally::default());
-    let in_force = site.apply_contract().await?;
+    let apply_time = site.apply_contract().await?;
     eprintln!(
-        "contract in force on all {} routers after {in_force:?}",
+        "contract in force on all {} routers after {apply_time:?}",
         site.router_count()
     );
     let sampler = Sampler::start(site.engines());
@@ -83,35 +83,35 @@
     let started_after_grace = leaving.started_requests();
     sleep_until(started, STOP_AT).await;
     eprintln!(
-        "{:>5.1} s  a router stops as planned",
+        "{:>5.1} s  a planned stop of a router",
         started.elapsed().as_secs_f64()
     );
     let cut_requests = site.stop_router().await?;
     callers.await.map_err(|error| error.to_string())?;
     eprintln!(
-        "{:>5.1} s  all callers are served",
+        "{:>5.1} s  all callers have finished",
         started.elapsed().as_secs_f64()
     );
 
-    let late_starts = leaving.started_requests() - started_after_grace;
+    let requests_after_leaving = leaving.started_requests() - started_after_grace;
     let control_bytes_per_s = site.control_bytes_per_s().await?;
-    let mut broken = tally.broken_promises(&site.service().runs());
-    if late_starts > 0 {
-        broken.push(format!(
-            "{late_starts} requests reached an engine that had left"
+    let mut violations = tally.violations(&site.service().runs());
+    if requests_after_leaving > 0 {
+        violations.push(format!(
+            "{requests_after_leaving} requests reached an engine after its leaving grace period"
         ));
     }
     if cut_requests > 0 {
-        broken.push(format!("the planned stop cut {cut_requests} requests"));
+        violations.push(format!("the planned stop cut {cut_requests} requests"));
     }
     print!(
         "{}",
-        tally.table(&sampler.skew(), &control_bytes_per_s, in_force)
+        tally.table(&sampler.skew(), &control_bytes_per_s, apply_time)
     );
     site.stop_all().await?;
-    match broken.is_empty() {
+    match violations.is_empty() {
         true => Ok(()),
-        false => Err(format!("broken promises: {}", broken.join("; "))),
+        false => Err(format!("violated guarantees: {}", violations.join("; "))),
     }
 }
 
--- a/crates/sapphiretrack-bench/src/demo/sample.rs
+++ b/crates/sapphiretrack-bench/src/demo/sample.rs
@@ -1,22 +1,23 @@
-//! Samples how far the busiest engine sits above the mean.
+//! Samples the ratio of the busiest engine's load to the mean load of all engines.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
 use sapphiretrack_fakes::FakeEngine;
 
-/// How often the engines' loads are read.
-const PERIOD: Duration = Duration::from_millis(50);
-/// Below this many requests an engine a ratio says little and is left out.
+/// Interval between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+/// Samples with a lower mean of requests per engine are discarded: with so few requests, the
+/// ratio depends mostly on chance.
 const MIN_MEAN_REQUESTS: f64 = 2.0;
 
-/// The busiest engine over the mean.
+/// Ratio of the busiest engine's running and queued requests to the mean of all engines.
 pub(crate) struct Skew {
     pub(crate) average: f64,
     pub(crate) p99: f64,
 }
 
-/// Reads engines' loads until it is dropped.
+/// Samples the engines' loads in a background task until it is dropped.
 pub(crate) struct Sampler {
     engines: Arc<Mutex<Vec<FakeEngine>>>,
     ratios: Arc<Mutex<Vec<f64>>>,
@@ -24,11 +25,11 @@
 }
 
 impl Sampler {
-    /// Starts with these engines.
+    /// Starts to sample these engines.
     pub(crate) fn start(engines: &[FakeEngine]) -> Self {
         let engines = Arc::new(Mutex::new(engines.to_vec()));
         let ratios = Arc::new(Mutex::new(Vec::new()));
-        let task = tokio::spawn(sample(engines.clone(), ratios.clone()));
+        let task = tokio::spawn(sample_loads(engines.clone(), ratios.clone()));
         Self {
             engines,
             ratios,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Changes the engines.
+    /// Replaces the sampled engines.
     pub(crate) fn set_engines(&self, engines: impl Into<Vec<FakeEngine>>) {
         *self.engines.lock().unwrap_or_else(PoisonError::into_inner) = engines.into();
     }
 
-    /// The skew so far.
+    /// Returns the skew over all samples so far; 0 without samples.
     pub(crate) fn skew(&self) -> Skew {
         let mut ratios = self
             .ratios
@@ -64,9 +65,9 @@
     }
 }
 
-async fn sample(engines: Arc<Mutex<Vec<FakeEngine>>>, ratios: Arc<Mutex<Vec<f64>>>) {
+async fn sample_loads(engines: Arc<Mutex<Vec<FakeEngine>>>, ratios: Arc<Mutex<Vec<f64>>>) {
     loop {
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
         let engines = engines
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/sapphiretrack-bench/src/demo/tally.rs
+++ b/crates/sapphiretrack-bench/src/demo/tally.rs
@@ -1,4 +1,4 @@
-//! What the demo's callers were told, and whether it kept the promises.
+//! Counts of the answers to the demo's callers, and the guarantees that they violate.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::demo::sample::Skew;
 
-/// Counts over all callers.
+/// Counts of all callers together.
 #[derive(Default)]
 pub(crate) struct Tally {
     counts: Mutex<Counts>,
@@ -16,12 +16,12 @@
 
 #[derive(Default)]
 struct Counts {
-    whole: u64,
+    complete: u64,
     late: u64,
-    foreign: u64,
+    incorrect: u64,
     refused: u64,
     unknown: u64,
-    broken: u64,
+    unanswered: u64,
     orders: u64,
     seen_tokens: u64,
     reused_tokens: u64,
@@ -29,25 +29,31 @@
 }
 
 impl Tally {
-    /// Notes a whole chat answer.
+    /// Records a complete chat answer.
     ///
-    /// `seen_tokens` is the part of its prompt that an engine has computed before.
-    pub(crate) fn whole(&self, answer: &ReadAnswer, own: bool, on_time: bool, seen_tokens: u32) {
+    /// `seen_tokens` is the number of its prompt tokens that an engine has computed before.
+    pub(crate) fn record_complete(
+        &self,
+        answer: &ReadAnswer,
+        correct: bool,
+        on_time: bool,
+        seen_tokens: u32,
+    ) {
         let mut counts = self.lock();
-        counts.whole += 1;
+        counts.complete += 1;
         counts.late += u64::from(!on_time);
-        counts.foreign += u64::from(!own);
+        counts.incorrect += u64::from(!correct);
         counts.seen_tokens += u64::from(seen_tokens);
         counts.reused_tokens += u64::from(answer.cached_tokens.min(seen_tokens));
     }
 
-    /// Notes an answered label order.
-    pub(crate) fn ordered(&self) {
+    /// Records a label order that was answered with status 200.
+    pub(crate) fn record_order(&self) {
         self.lock().orders += 1;
     }
 
-    /// Notes an answer without a result.
-    pub(crate) fn refused(&self, answer: &ReadAnswer) {
+    /// Records an answer without a result: a request that was not run, or one that may have run.
+    pub(crate) fn record_refusal(&self, answer: &ReadAnswer) {
         let mut counts = self.lock();
         if answer.outcome == "not-run" {
             counts.refused += 1;
@@ -59,84 +65,84 @@
             .get_or_insert_with(|| format!("{answer:?}"));
     }
 
-    /// Notes a request without an answer.
-    pub(crate) fn failed(&self, error: &ClientError) {
+    /// Records a request without an answer.
+    pub(crate) fn record_error(&self, error: &ClientError) {
         let mut counts = self.lock();
-        counts.broken += 1;
+        counts.unanswered += 1;
         counts
             .first_problem
             .get_or_insert_with(|| error.to_string());
     }
 
-    /// The promises that were not kept.
-    pub(crate) fn broken_promises(&self, runs: &[RunCount]) -> Vec<String> {
+    /// Returns a description of each violated guarantee. `runs` are the runs at the plain service.
+    pub(crate) fn violations(&self, runs: &[RunCount]) -> Vec<String> {
         let counts = self.lock();
-        let doubled = runs
+        let repeated_orders = runs
             .iter()
             .filter(|run| run.order.contains("labels") && run.runs > 1);
         let problem = counts.first_problem.clone().unwrap_or_default();
         let checks = [
-            (counts.late, String::from("answers came late")),
+            (counts.late, String::from("answers missed the deadline")),
             (
-                counts.foreign,
-                String::from("answers had foreign, doubled or missing parts"),
+                counts.incorrect,
+                String::from("answers had parts that were foreign, duplicated or missing"),
             ),
             (
                 counts.unknown,
-                format!("answers were left unknown, the first: {problem}"),
+                format!("requests have an unknown outcome; first problem: {problem}"),
             ),
             (
-                counts.broken,
-                format!("requests got no answer, the first: {problem}"),
+                counts.unanswered,
+                format!("requests got no answer; first problem: {problem}"),
             ),
             (
-                doubled.count() as u64,
-                String::from("label orders ran twice"),
+                repeated_orders.count() as u64,
+                String::from("label orders ran more than once"),
             ),
             (
-                u64::from(counts.whole == 0),
-                String::from("run without any whole answer"),
+                u64::from(counts.complete == 0),
+                String::from("run without a complete chat answer"),
             ),
             (
                 u64::from(counts.orders == 0),
-                String::from("run without any label order"),
+                String::from("run without an answered label order"),
             ),
         ];
-        let broken = checks.into_iter().filter(|(count, _)| *count > 0);
-        broken
+        let violated = checks.into_iter().filter(|(count, _)| *count > 0);
+        violated
             .map(|(count, what)| format!("{count} {what}"))
             .collect()
     }
 
-    /// The table at the end.
-    pub(crate) fn table(&self, skew: &Skew, control: &[f64], in_force: Duration) -> String {
+    /// Formats the results as a table. `control` is in bytes per second, by router.
+    pub(crate) fn table(&self, skew: &Skew, control: &[f64], apply_time: Duration) -> String {
         let counts = self.lock();
         let share = |part: u64, whole: u64| 100.0 * part as f64 / whole.max(1) as f64;
         let reuse = share(counts.reused_tokens, counts.seen_tokens);
-        let on_time = share(counts.whole - counts.late, counts.whole);
+        let on_time = share(counts.complete - counts.late, counts.complete);
         let control: Vec<String> = control.iter().map(|rate| format!("{rate:.0}")).collect();
         let rows = [
-            ("chat answers, whole", counts.whole.to_string()),
-            ("of them on time", format!("{on_time:.1} %")),
+            ("complete chat answers", counts.complete.to_string()),
+            ("  of these, within the deadline", format!("{on_time:.1} %")),
             ("label orders answered", counts.orders.to_string()),
-            ("refused as not run", counts.refused.to_string()),
+            ("requests refused as not run", counts.refused.to_string()),
             (
-                "prompt tokens seen before, from cache",
+                "repeated prompt tokens found in cache",
                 format!("{reuse:.1} %"),
             ),
             (
-                "busiest engine over the mean, average",
+                "busiest engine / mean load, average",
                 format!("{:.2}", skew.average),
             ),
             (
-                "busiest engine over the mean, 99 in 100",
+                "busiest engine / mean load, p99",
                 format!("{:.2}", skew.p99),
             ),
             (
-                "contract in force everywhere after",
-                format!("{} ms", in_force.as_millis()),
+                "contract in force on all routers after",
+                format!("{} ms", apply_time.as_millis()),
             ),
-            ("control bytes a second by router", control.join(", ")),
+            ("control traffic by router (bytes/s)", control.join(", ")),
         ];
         rows.iter()
             .map(|(name, value)| format!("{name:<46} {value}\n"))
