--- a/crates/sapphiretrack-bench/src/load/callers.rs
+++ b/crates/sapphiretrack-bench/src/load/callers.rs
@@ -1,4 +1,4 @@
-//! The callers: each arrival becomes a request at its time.
+//! Runs a load: starts a request for each arrival at its scheduled time.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -10,14 +10,14 @@
 use tokio::time::Instant;
 
 use crate::load::arrivals::Arrivals;
-use crate::load::entries::{AddressBook, KnownRouters};
+use crate::load::entries::{AddressCache, KnownRouters};
 use crate::load::history::RequestRecord;
 use crate::load::request::Request;
 use crate::load::settings::LoadSettings;
 use crate::load::shared::{Shared, lock};
 use crate::load::statistics::Statistics;
 
-/// How often progress is written.
+/// Interval between two progress lines.
 const PROGRESS_PERIOD: Duration = Duration::from_secs(2);
 
 /// A load that can be run once.
@@ -25,25 +25,25 @@
     shared: Arc<Shared>,
 }
 
-/// What came of a load.
+/// The results of a load.
 pub struct LoadOutcome {
-    /// What it met.
+    /// Counts and times by class.
     pub statistics: Statistics,
-    /// What became of each request.
+    /// All requests that have ended, with their attempts.
     pub history: Vec<RequestRecord>,
-    /// How long it ran, answers included.
+    /// Time from the start to the last answer.
     pub lasted: Duration,
 }
 
 impl Load {
-    /// A load against the routers that a list names.
+    /// Creates a load against the known routers.
     pub fn new(settings: LoadSettings, known: &KnownRouters) -> Self {
-        let books = (0..settings.callers)
-            .map(|caller| AddressBook::new(known.clone(), settings.zone.clone(), caller))
+        let address_caches = (0..settings.callers)
+            .map(|caller| AddressCache::new(known.clone(), settings.zone.clone(), caller))
             .collect();
         Self {
             shared: Arc::new(Shared {
-                books,
+                address_caches,
                 client: CallerClient::new(),
                 statistics: Mutex::new(Statistics::new(&settings.classes)),
                 history: Mutex::default(),
@@ -54,16 +54,16 @@
         }
     }
 
-    /// Ends the arrivals; answers on their way are awaited.
+    /// Returns a function that ends the arrivals. The load still waits for requests in flight.
     pub fn stopper(&self) -> impl Fn() + Send + Sync + 'static {
         let shared = self.shared.clone();
         move || shared.stopped.store(true, Ordering::Relaxed)
     }
 
-    /// Runs all arrivals and waits for their answers.
+    /// Starts a request for each arrival and waits until all have ended.
     pub async fn run(self) -> LoadOutcome {
         let started = Instant::now();
-        let places = Arc::new(Semaphore::new(self.shared.settings.max_in_flight));
+        let permits = Arc::new(Semaphore::new(self.shared.settings.max_in_flight));
         let progress = self
             .shared
             .settings
@@ -81,7 +81,7 @@
                 arrival,
                 due,
             };
-            requests.spawn(request.run(places.clone()));
+            requests.spawn(request.run(permits.clone()));
             while requests.try_join_next().is_some() {}
         }
         while requests.join_next().await.is_some() {}
@@ -103,7 +103,7 @@
         let line = {
             let statistics = lock(&shared.statistics);
             format!(
-                "{:>5} s  sent {}  whole {}  violations {}",
+                "{:>5} s  sent {}  complete {}  violations {}",
                 started.elapsed().as_secs(),
                 statistics.sent(),
                 statistics.whole(),
--- a/crates/sapphiretrack-bench/src/load/check.rs
+++ b/crates/sapphiretrack-bench/src/load/check.rs
@@ -1,54 +1,54 @@
-//! Checks that an answer is the whole answer to its own request and to no other.
+//! Checks that an answer is complete and belongs to its request.
 //!
-//! Stand-in engines answer tokens of the form `TAG-INDEX`: the tag marks the messages, and the
-//! index runs from 0 without gap.
+//! Fake engines answer with tokens of the form `TAG-INDEX`: the tag is derived from the messages,
+//! and the index counts from 0 without gaps.
 
 use sapphiretrack_fakes::answer_tag;
 use serde::{Deserialize, Serialize};
 
-/// How an answer broke its promise.
+/// The kind of a violated guarantee.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
-    /// A part of another request's answer, or no part of any.
+    /// A token belongs to another request's answer, or to no answer at all.
     Foreign,
-    /// A part came twice.
+    /// A token came more than once.
     Doubled,
-    /// A part is missing between others.
+    /// A token is missing between others.
     Missing,
-    /// The answer ended as if it were whole, and is not.
+    /// An incomplete answer ended as if it were complete.
     CutAsEnd,
     /// A non-idempotent order ran more than once.
     RanTwice,
-    /// A request ran though its caller was told that it did not.
+    /// A request ran although its caller was told that it did not.
     RanThoughNotRun,
-    /// An order was answered as complete and ran nowhere.
+    /// A non-idempotent order was answered as complete but ran at no server.
     CompleteWithoutRun,
-    /// An attempt had no end, though every fault was taken back.
+    /// An attempt did not end within its time limit, although no fault of the soak lasts as long.
     NoEnd,
-    /// A planned stop cut a request or did not end as planned.
+    /// A planned stop of a router cut a request, or the router did not exit with code 0.
     CutByPlannedStop,
-    /// A router went back to an earlier configuration.
+    /// A router returned to an earlier configuration version.
     ConfigurationWentBack,
-    /// An accepted change is lost, or a refused one holds.
+    /// An accepted change was lost, a refused one was applied, or a change's outcome is unknown.
     ChangeLost,
-    /// Two racing changes of one version were both accepted.
+    /// Two changes of the same version of a contract were both accepted.
     BothAccepted,
-    /// The fleet did not come together again.
+    /// The routers did not all see all routers and servers again after the faults.
     NotSettled,
 }
 
-/// A broken promise, with what shows it.
+/// A violated guarantee with its evidence.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which promise.
+    /// The kind of the violation.
     pub kind: ViolationKind,
-    /// What shows it.
+    /// A description of the evidence.
     pub detail: String,
 }
 
 impl Violation {
-    /// A violation with what shows it.
+    /// Creates a violation.
     pub fn new(kind: ViolationKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Checks the parts of a chat's answer as they come.
+/// Checks the tokens of a chat's answer as they arrive.
 pub struct AnswerCheck {
     tag: u16,
     next_index: u32,
@@ -66,7 +66,7 @@
 }
 
 impl AnswerCheck {
-    /// The check of the answer to these messages.
+    /// Creates the check of the answer to these messages.
     pub fn new(messages: &serde_json::Value, expected_tokens: u32) -> Self {
         Self {
             tag: answer_tag(messages),
@@ -76,28 +76,28 @@
         }
     }
 
-    /// Takes in text as it comes; it holds whole tokens.
-    pub fn take(&mut self, text: &str) {
+    /// Checks the next piece of the answer. A piece must not split a token.
+    pub fn push_text(&mut self, text: &str) {
         for token in text.split_whitespace() {
-            self.take_token(token);
+            self.check_token(token);
         }
     }
 
-    /// Tokens taken in.
+    /// Returns the number of tokens received.
     pub fn tokens(&self) -> u32 {
         self.next_index
     }
 
-    /// The first broken promise; `complete` says that the answer was said to be whole.
+    /// Returns the first violation. `complete` is whether the router reported a complete answer.
     pub fn finish(mut self, complete: bool) -> Option<Violation> {
         if complete && self.next_index < self.expected_tokens {
             let detail = format!("{} of {} tokens", self.next_index, self.expected_tokens);
-            self.note(ViolationKind::CutAsEnd, &detail);
+            self.record(ViolationKind::CutAsEnd, &detail);
         }
         self.first_violation
     }
 
-    fn take_token(&mut self, token: &str) {
+    fn check_token(&mut self, token: &str) {
         let parsed = token.split_once('-').and_then(|(tag, index)| {
             let tag = u16::from_str_radix(tag, 16).ok()?;
             Some((tag, index.parse::<u32>().ok()?))
@@ -106,30 +106,31 @@
         match parsed {
             Some((tag, index)) if tag == self.tag => {
                 if index < expected {
-                    self.note(ViolationKind::Doubled, token);
+                    self.record(ViolationKind::Doubled, token);
                 } else if index > expected {
-                    self.note(ViolationKind::Missing, token);
+                    self.record(ViolationKind::Missing, token);
                 } else if index >= self.expected_tokens {
-                    self.note(ViolationKind::Foreign, token);
+                    self.record(ViolationKind::Foreign, token);
                 }
             }
-            _ => self.note(ViolationKind::Foreign, token),
+            _ => self.record(ViolationKind::Foreign, token),
         }
         self.next_index += 1;
     }
 
-    fn note(&mut self, kind: ViolationKind, what: &str) {
+    fn record(&mut self, kind: ViolationKind, found: &str) {
         let expected = self.next_index;
         self.first_violation.get_or_insert_with(|| {
             Violation::new(
                 kind,
-                format!("{what:?} where token {expected} was expected"),
+                format!("{found:?} where token {expected} was expected"),
             )
         });
     }
 }
 
-/// Checks a plain service's answer: it names the order that it ran.
+/// Checks the answer of a fake plain service: it names the order that it ran, and for a
+/// non-idempotent order, that this was the first run.
 pub fn check_service_answer(body: &str, order: &str, non_idempotent: bool) -> Option<Violation> {
     let value: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
     if value["order"] != order {
--- a/crates/sapphiretrack-bench/src/load/command.rs
+++ b/crates/sapphiretrack-bench/src/load/command.rs
@@ -14,42 +14,43 @@
 const HELP: &str = "\
 sapphiretrack-bench load: open-loop load against running routers
 
-  --entry URL            a router that is asked for addresses; may be given again
-  --key KEY              a key of the customer's contract
-  --rate N               arrivals a second [20]
-  --duration-s N         how long arrivals come [30]
-  --requests N           the most arrivals; 0 for no bound [0]
-  --seed N               what all random choices come from [1]
-  --zone NAME            the availability zone that lookups name
+  --entry URL            a router for address lookups; may be repeated
+  --key KEY              a caller key of the customer's contract
+  --rate N               mean arrivals per second [20]
+  --duration-s N         duration of the arrivals [30]
+  --requests N           maximum number of arrivals; 0 for no limit [0]
+  --seed N               seed of all random choices [1]
+  --zone NAME            availability zone named in lookups
   --model NAME           the model [assistant]
   --service NAME         the plain service [plant]
-  --order-path PATH      its non-idempotent path [labels/print]
-  --lookup-path PATH     its idempotent path [pallets]
-  --callers N            processes of callers, each with addresses of its own [16]
-  --workspaces N         workspaces [10]
-  --zipf N               how steeply their shares fall [1.2]
-  --class NAME=SHARE:MS  a class, its share, when it is late; may be given again
-  --returning-share N    share of chat arrivals that are due chats coming back [0.6]
-  --warm-share N         share of them that send the warm value back [0.8]
-  --pause-mean-ms N      pause of a chat [2000]
-  --max-turns N          turns after which a chat is over [8]
-  --service-share N      share of calls of the plain service [0.2]
-  --order-share N        share of non-idempotent orders among those [0.5]
-  --preamble-bytes N     text that a workspace's chats share [4000]
-  --turn-bytes N         text that each turn adds [600]
-  --answer-tokens N      tokens of an answer [24]
-  --max-in-flight N      requests in flight; later ones wait, and that counts [1000]
-  --max-attempts N       attempts of a request [6]
-  --answer-limit-ms N    when an attempt without an end is given up [60000]
-  --json FILE            adds the report to a file as a JSON line
+  --order-path PATH      path of its non-idempotent requests [labels/print]
+  --lookup-path PATH     path of its idempotent requests [pallets]
+  --callers N            caller processes, each with its own cached router addresses [16]
+  --workspaces N         number of workspaces [10]
+  --zipf N               exponent of the Zipf distribution of their shares [1.2]
+  --class NAME=SHARE:MS  a class, its share, and when its answers are late; may be repeated
+  --returning-share N    share of chat arrivals that continue a paused chat, if one is due [0.6]
+  --warm-share N         share of chat requests that return the warm value, if there is one [0.8]
+  --pause-mean-ms N      mean pause between two turns of a chat [2000]
+  --max-turns N          maximum number of turns of a chat [8]
+  --service-share N      share of requests to the plain service [0.2]
+  --order-share N        share of non-idempotent orders among these [0.5]
+  --preamble-bytes N     length of the text shared by a workspace's chats [4000]
+  --turn-bytes N         length of the text that each turn adds [600]
+  --answer-tokens N      tokens per answer [24]
+  --max-in-flight N      maximum requests in flight; others wait, and their wait counts [1000]
+  --max-attempts N       maximum attempts per request [6]
+  --answer-limit-ms N    time limit of an attempt [60000]
+  --json FILE            appends the report to a file as a JSON line
   --plot FILE.svg        writes the distribution of the time to the first token
-  --quiet                no progress
+  --quiet                prints no progress
 
-Times count from the scheduled arrival. The exit code is 1 if an answer broke a promise: the
-check knows the answers of the stand-in engines and services only.
+Times count from the scheduled arrival. The exit code is 1 if an answer violated a guarantee. The
+check only understands the answers of the fake engines and services of sapphiretrack-fakes.
 ";
 
-/// Runs the subcommand; an error says what is wrong, `false` that a promise was broken.
+/// Runs the subcommand. Returns `false` if a guarantee was violated, and an error if the command
+/// line is invalid or a result cannot be written.
 pub fn run(mut arguments: Arguments) -> Result<bool, String> {
     if arguments.contains(["-h", "--help"]) {
         print!("{HELP}");
@@ -70,7 +71,7 @@
     Ok(report.violation_count == 0)
 }
 
-/// Adds a value to a file of JSON lines.
+/// Appends a value to a file of JSON lines.
 pub(crate) fn append_json_line<Value>(path: &Path, value: &Value) -> Result<(), String>
 where
     Value: serde::Serialize,
--- a/crates/sapphiretrack-bench/src/load/entries.rs
+++ b/crates/sapphiretrack-bench/src/load/entries.rs
@@ -1,4 +1,4 @@
-//! Which router a caller connects to: lookups, kept for their time to live.
+//! Selects the router a caller connects to. Address lookups are cached for their time to live.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,19 +7,19 @@
 use sapphiretrack_caller::CallerClient;
 use tokio::time::Instant;
 
-/// How long a lookup may take before another router is asked.
-const LOOKUP_LIMIT: Duration = Duration::from_millis(1_500);
-/// How long a router that failed is passed over, where there is another.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(5);
+/// Time limit of a lookup, after which another router is asked.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a router is avoided after a failure, unless all routers of the lookup have failed.
+const FAILED_ROUTER_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// The routers that a caller may ask first; clones are the same list.
+/// The routers that callers may ask for addresses. Clones share one list.
 #[derive(Clone, Debug, Default)]
 pub struct KnownRouters {
     urls: Arc<Mutex<Vec<String>>>,
 }
 
 impl KnownRouters {
-    /// A list of `http://IP:PORT`.
+    /// Creates the list from URLs of the form `http://IP:PORT`.
     pub fn new(urls: Vec<String>) -> Self {
         let known = Self::default();
         known.set(urls);
@@ -31,98 +31,99 @@
         *lock(&self.urls) = urls;
     }
 
-    /// The list as it stands.
+    /// Returns the current list.
     pub fn urls(&self) -> Vec<String> {
         lock(&self.urls).clone()
     }
 }
 
-/// The addresses that one caller process keeps.
-pub struct AddressBook {
+/// The cached router addresses of one caller process.
+pub struct AddressCache {
     known: KnownRouters,
     zone: Option<String>,
     client: CallerClient,
-    kept: Mutex<Kept>,
+    state: Mutex<CacheState>,
 }
 
 #[derive(Default)]
-struct Kept {
+struct CacheState {
     urls: Vec<String>,
     until: Option<Instant>,
     failed: BTreeMap<String, Instant>,
     next_known: usize,
 }
 
-impl AddressBook {
-    /// An empty book; `first` says which known router it asks first.
+impl AddressCache {
+    /// Creates an empty cache. `first` selects the known router of the first lookup, so that caches
+    /// with different values spread their lookups.
     pub fn new(known: KnownRouters, zone: Option<String>, first: usize) -> Self {
         Self {
             known,
             zone,
             client: CallerClient::new(),
-            kept: Mutex::new(Kept {
+            state: Mutex::new(CacheState {
                 next_known: first,
-                ..Kept::default()
+                ..CacheState::default()
             }),
         }
     }
 
-    /// The router to connect to; none if no known router answers.
-    pub async fn router(&self) -> Option<String> {
-        if let Some(url) = lock(&self.kept).current() {
+    /// Returns the URL of the router to connect to; `None` if no known router answers a lookup.
+    pub async fn router_url(&self) -> Option<String> {
+        if let Some(url) = lock(&self.state).current_url() {
             return Some(url);
         }
-        let tries = self.known.urls().len();
-        for _ in 0..tries {
-            let url = self.next_known()?;
+        let attempts = self.known.urls().len();
+        for _ in 0..attempts {
+            let url = self.next_known_url()?;
             let lookup = self.client.entry(&url, self.zone.as_deref());
-            let Ok(Ok(reply)) = tokio::time::timeout(LOOKUP_LIMIT, lookup).await else {
+            let Ok(Ok(reply)) = tokio::time::timeout(LOOKUP_TIMEOUT, lookup).await else {
                 continue;
             };
-            let mut kept = lock(&self.kept);
-            kept.urls = reply
+            let mut state = lock(&self.state);
+            state.urls = reply
                 .addresses
                 .iter()
                 .map(|address| format!("http://{address}"))
                 .collect();
-            kept.until = Some(Instant::now() + Duration::from_millis(reply.ttl_ms));
-            if let Some(url) = kept.current() {
+            state.until = Some(Instant::now() + Duration::from_millis(reply.ttl_ms));
+            if let Some(url) = state.current_url() {
                 return Some(url);
             }
-            // All that the lookup names failed before: they get another chance.
-            kept.failed.clear();
-            if let Some(url) = kept.current() {
+            // All routers of the lookup failed recently: forget this and try them again.
+            state.failed.clear();
+            if let Some(url) = state.current_url() {
                 return Some(url);
             }
         }
         None
     }
 
-    /// Takes a router out until the next lookup names others.
-    pub fn failed(&self, url: &str) {
-        let mut kept = lock(&self.kept);
-        kept.failed.insert(url.to_owned(), Instant::now());
-        kept.until = None;
+    /// Avoids a router for a while after a failure, and makes the next request repeat the lookup.
+    pub fn mark_failed(&self, url: &str) {
+        let mut state = lock(&self.state);
+        state.failed.insert(url.to_owned(), Instant::now());
+        state.until = None;
     }
 
-    fn next_known(&self) -> Option<String> {
+    fn next_known_url(&self) -> Option<String> {
         let urls = self.known.urls();
-        let mut kept = lock(&self.kept);
-        kept.next_known = kept.next_known.wrapping_add(1);
-        urls.get(kept.next_known % urls.len().max(1)).cloned()
+        let mut state = lock(&self.state);
+        state.next_known = state.next_known.wrapping_add(1);
+        urls.get(state.next_known % urls.len().max(1)).cloned()
     }
 }
 
-impl Kept {
-    fn current(&self) -> Option<String> {
+impl CacheState {
+    fn current_url(&self) -> Option<String> {
         let now = Instant::now();
         self.until.filter(|until| now < *until)?;
-        let passed_over = |url: &String| {
+        let is_in_cooldown = |url: &String| {
             self.failed
                 .get(url)
-                .is_some_and(|at| now < *at + PASSED_OVER_FOR)
+                .is_some_and(|at| now < *at + FAILED_ROUTER_COOLDOWN)
         };
-        self.urls.iter().find(|url| !passed_over(url)).cloned()
+        self.urls.iter().find(|url| !is_in_cooldown(url)).cloned()
     }
 }
 
--- a/crates/sapphiretrack-bench/src/load/history.rs
+++ b/crates/sapphiretrack-bench/src/load/history.rs
@@ -1,13 +1,14 @@
-//! What became of each request, for the check of the whole history.
+//! The record of each request and its attempts, for the check of the soak's history.
 
 use serde::{Deserialize, Serialize};
 
 /// One request with all its attempts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RequestRecord {
-    /// What identifies its run at a server: an order's text, or the hash of a chat's messages.
+    /// Identifies its runs at the servers: the method, path and body of a service request, or the
+    /// hash of a chat's messages.
     pub identity: String,
-    /// Whether it calls a plain service.
+    /// Whether it is a request to a plain service.
     pub service: bool,
     /// Whether it is non-idempotent.
     pub non_idempotent: bool,
@@ -20,30 +21,30 @@
 pub struct Attempt {
     /// The router: `http://IP:PORT`.
     pub router: String,
-    /// What came of it.
+    /// Its outcome.
     pub outcome: AttemptOutcome,
 }
 
-/// What came of an attempt, as its caller sees it.
+/// The outcome of an attempt as seen by its caller.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// The whole answer.
+    /// A complete answer.
     Complete,
-    /// The router says that it was not run.
+    /// The router reported that the request was not run; with the error code.
     NotRun(String),
-    /// The router says that it may have run.
+    /// The router reported that the request may have run; with the error code.
     Unknown(String),
-    /// No connection.
+    /// No connection to the router.
     Unreachable,
-    /// The connection broke.
+    /// The connection broke during the request.
     Cut,
-    /// No end within the limit.
+    /// The attempt did not end within its time limit.
     NoEnd,
 }
 
 impl RequestRecord {
-    /// Whether the caller knows that nothing ran.
+    /// Whether the caller knows from every attempt that the request did not run.
     pub fn surely_not_run(&self) -> bool {
         self.attempts.iter().all(|attempt| {
             matches!(
@@ -53,7 +54,7 @@
         })
     }
 
-    /// Whether the caller got the whole answer.
+    /// Whether the caller got a complete answer.
     pub fn complete(&self) -> bool {
         self.attempts
             .iter()
--- a/crates/sapphiretrack-bench/src/load/mod.rs
+++ b/crates/sapphiretrack-bench/src/load/mod.rs
@@ -19,7 +19,7 @@
 pub use check::{AnswerCheck, Violation, ViolationKind, check_service_answer};
 pub(crate) use command::append_json_line;
 pub use command::run;
-pub use entries::{AddressBook, KnownRouters};
+pub use entries::{AddressCache, KnownRouters};
 pub use history::{Attempt, AttemptOutcome, RequestRecord};
 pub use plot::plot_svg;
 pub use report::LoadReport;
--- a/crates/sapphiretrack-bench/src/load/plot.rs
+++ b/crates/sapphiretrack-bench/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! The plot of a load: the time to the first token by the share of requests.
+//! Plots the quantiles of the time to the first token.
 
 use std::path::Path;
 
@@ -10,12 +10,12 @@
 
 use crate::load::statistics::{ClassStatistics, Statistics};
 
-/// The picture's width and height.
+/// Width and height of the plot.
 const SIZE_PIXELS: (u32, u32) = (900, 500);
-/// Points of a line.
-const POINTS: u32 = 400;
+/// Number of points per line.
+const POINTS_PER_LINE: u32 = 400;
 
-/// Writes the distribution of the time to the first token, a line for each class.
+/// Writes the distribution of the time to the first token as an SVG file, with a line per class.
 pub fn plot_svg(path: &Path, statistics: &Statistics) -> Result<(), String> {
     draw(path, statistics).map_err(|error| format!("{}: {error}", path.display()))
 }
@@ -66,9 +66,9 @@
     if class.first_token_us.is_empty() {
         return Vec::new();
     }
-    (0..=POINTS)
+    (0..=POINTS_PER_LINE)
         .map(|point| {
-            let quantile = f64::from(point) / f64::from(POINTS);
+            let quantile = f64::from(point) / f64::from(POINTS_PER_LINE);
             let us = class.first_token_us.value_at_quantile(quantile);
             (quantile * 100.0, us as f64 / 1_000.0)
         })
--- a/crates/sapphiretrack-bench/src/load/report.rs
+++ b/crates/sapphiretrack-bench/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a load: a table, and a JSON line.
+//! The report of a load, as a table or a JSON line.
 
 use std::collections::BTreeMap;
 
@@ -15,53 +15,53 @@
 pub struct LoadReport {
     /// Always `load`.
     pub kind: String,
-    /// The seed.
+    /// Seed of the load.
     pub seed: u64,
-    /// Arrivals a second that were asked for.
+    /// Configured arrivals per second.
     pub requests_per_s: f64,
-    /// How long it ran.
+    /// Time from the start to the last answer.
     pub lasted_ms: u64,
-    /// By class.
+    /// The results by class.
     pub classes: Vec<ClassReport>,
-    /// The share of prompt tokens found in a cache.
+    /// Share of prompt tokens that were found in an engine's cache.
     pub cached_share: f64,
-    /// The same of returning chats alone.
+    /// The same share for turns after a chat's first.
     pub returning_cached_share: f64,
-    /// Broken promises, counted.
+    /// Number of violated guarantees.
     pub violation_count: u64,
-    /// The first of them.
+    /// The first violations, at most 100.
     pub violations: Vec<Violation>,
 }
 
-/// The figures of a class.
+/// The results of a class.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassReport {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// What came of its requests.
+    /// Counts of its requests and attempts by outcome.
     #[serde(flatten)]
     pub counts: ClassCounts,
-    /// Time to the first token.
+    /// Time from the scheduled arrival to the first token.
     pub first_token_ms: Quantiles,
-    /// Time between two tokens.
+    /// Time between two pieces of an answer.
     pub between_tokens_ms: Quantiles,
-    /// Time to the whole answer.
+    /// Time from the scheduled arrival to the complete answer.
     pub whole_ms: Quantiles,
 }
 
-/// Quantiles of a time.
+/// Quantiles of a time, in milliseconds; 0 without samples.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Quantiles {
     /// The median.
     pub p50: f64,
-    /// 95 in 100 are below.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are below.
+    /// The 99th percentile.
     pub p99: f64,
 }
 
 impl LoadReport {
-    /// The report of what came of a load.
+    /// Creates the report of a load's outcome.
     pub fn new(settings: &LoadSettings, outcome: &LoadOutcome) -> Self {
         let statistics: &Statistics = &outcome.statistics;
         Self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The report as a table.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<10} {:>7} {:>7} {:>7} {:>8} {:>8} {:>6} {:>6} {:>6}  {:>22} {:>9} {:>22}\n",
@@ -98,17 +98,17 @@
             class.write_line(&mut text);
         }
         for class in &self.classes {
-            for (what, codes) in [
+            for (outcome, codes) in [
                 ("refused", &class.counts.refused),
                 ("unknown", &class.counts.unknown),
             ] {
                 for (code, count) in codes {
-                    text.push_str(&format!("{} {what} as {code}: {count}\n", class.class));
+                    text.push_str(&format!("{} {outcome} as {code}: {count}\n", class.class));
                 }
             }
         }
         text.push_str(&format!(
-            "cached prompt tokens: {:.3}, of returning chats: {:.3}\n",
+            "cached share of prompt tokens: {:.3}, of returning chats: {:.3}\n",
             self.cached_share, self.returning_cached_share
         ));
         text.push_str(&format!("violations: {}\n", self.violation_count));
--- a/crates/sapphiretrack-bench/src/load/request.rs
+++ b/crates/sapphiretrack-bench/src/load/request.rs
@@ -1,4 +1,4 @@
-//! One request of a load, repeated as a careful caller would.
+//! Runs one request of a load, with retries where they are safe.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,75 +12,76 @@
 
 use crate::load::arrivals::{Arrival, Work};
 use crate::load::check::{AnswerCheck, Violation, check_service_answer};
-use crate::load::entries::AddressBook;
+use crate::load::entries::AddressCache;
 use crate::load::history::{Attempt, AttemptOutcome, RequestRecord};
 use crate::load::shared::{Shared, lock};
 use crate::load::statistics::ClassStatistics;
-use crate::load::texts::{messages, service_body, service_order, service_path};
+use crate::load::texts::{chat_messages, service_body, service_order, service_path};
 
-/// The wait before a repeat that no answer has set a time for.
-const REPEAT_AFTER: Duration = Duration::from_millis(200);
-/// The longest wait before a repeat, whatever an answer says.
-const MAX_REPEAT_AFTER: Duration = Duration::from_secs(5);
+/// Delay before a retry if the answer names none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Longest delay before a retry, also if the answer asks for more.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// One request with what it needs.
+/// A request of a load.
 pub(crate) struct Request {
     pub(crate) shared: Arc<Shared>,
     pub(crate) arrival: Arrival,
-    /// The scheduled arrival: all times count from here.
+    /// Time of the scheduled arrival, from which latencies are measured.
     pub(crate) due: Instant,
 }
 
-/// What one attempt brought.
-struct Tried {
+/// The outcome of an attempt and the delay before a retry.
+struct AttemptResult {
     outcome: AttemptOutcome,
-    repeat_after: Duration,
+    retry_delay: Duration,
 }
 
 impl Request {
-    /// Runs it to its last attempt, within a bound of requests in flight.
-    pub(crate) async fn run(self, places: Arc<Semaphore>) {
-        let place = self.take_place(places).await;
+    /// Makes the request's attempts and records them. Each request in flight holds a permit.
+    pub(crate) async fn run(self, permits: Arc<Semaphore>) {
+        let permit = self.acquire_permit(permits).await;
         let mut record = self.new_record();
         for attempt in 0..self.shared.settings.max_attempts {
-            let Some(router) = self.book().router().await else {
-                tokio::time::sleep(REPEAT_AFTER).await;
+            let Some(router) = self.address_cache().router_url().await else {
+                tokio::time::sleep(DEFAULT_RETRY_DELAY).await;
                 continue;
             };
-            let tried = self.attempt(&router).await;
-            self.count(&tried.outcome);
+            let result = self.attempt(&router).await;
+            self.count_outcome(&result.outcome);
             if matches!(
-                tried.outcome,
+                result.outcome,
                 AttemptOutcome::Unreachable | AttemptOutcome::Cut | AttemptOutcome::NoEnd
             ) {
-                self.book().failed(&router);
+                self.address_cache().mark_failed(&router);
             }
-            let outcome = tried.outcome;
-            let repeats = self.repeats_after(&outcome);
+            let outcome = result.outcome;
+            let retries = self.is_retried_after(&outcome);
             record.attempts.push(Attempt { router, outcome });
-            if !repeats || attempt + 1 == self.shared.settings.max_attempts {
+            if !retries || attempt + 1 == self.shared.settings.max_attempts {
                 break;
             }
-            tokio::time::sleep(tried.repeat_after.min(MAX_REPEAT_AFTER)).await;
+            tokio::time::sleep(result.retry_delay.min(MAX_RETRY_DELAY)).await;
         }
         lock(&self.shared.history).push(record);
-        drop(place);
+        drop(permit);
     }
 
-    async fn take_place(&self, places: Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
-        let free = places.clone().try_acquire_owned().ok();
+    async fn acquire_permit(&self, permits: Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
+        let available = permits.clone().try_acquire_owned().ok();
         self.with_class(|class| {
             class.counts.sent += 1;
-            class.counts.delayed += u64::from(free.is_none());
+            class.counts.delayed += u64::from(available.is_none());
         });
-        match free {
-            Some(place) => Some(place),
-            None => places.acquire_owned().await.ok(),
+        match available {
+            Some(permit) => Some(permit),
+            None => permits.acquire_owned().await.ok(),
         }
     }
 
-    /// What ran or may have run is repeated only where the idempotency key makes that safe.
-    fn repeats_after(&self, outcome: &AttemptOutcome) -> bool {
+    /// Requests that may have run are retried only if they are orders: their idempotency key makes
+    /// a retry safe.
+    fn is_retried_after(&self, outcome: &AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Complete => false,
             AttemptOutcome::NotRun(_) | AttemptOutcome::Unreachable => true,
@@ -90,9 +91,9 @@
         }
     }
 
-    async fn attempt(&self, router: &str) -> Tried {
+    async fn attempt(&self, router: &str) -> AttemptResult {
         let limit = Duration::from_millis(self.shared.settings.answer_limit_ms);
-        let tried = async {
+        let result = async {
             match self.arrival.work {
                 Work::Chat {
                     chat,
@@ -102,15 +103,21 @@
                 Work::Lookup | Work::Order => self.try_service(router).await,
             }
         };
-        let no_end = |_| Tried::new(AttemptOutcome::NoEnd);
-        tokio::time::timeout(limit, tried)
+        let no_end = |_| AttemptResult::new(AttemptOutcome::NoEnd);
+        tokio::time::timeout(limit, result)
             .await
             .unwrap_or_else(no_end)
     }
 
-    async fn try_chat(&self, router: &str, chat: u64, turn: u32, sends_warm: bool) -> Tried {
+    async fn try_chat(
+        &self,
+        router: &str,
+        chat: u64,
+        turn: u32,
+        sends_warm: bool,
+    ) -> AttemptResult {
         let settings = &self.shared.settings;
-        let messages = messages(settings, &self.arrival, chat, turn);
+        let messages = chat_messages(settings, &self.arrival, chat, turn);
         let mut check = AnswerCheck::new(&messages, settings.answer_tokens);
         let mut options = self.options();
         options.chat = Some(format!("chat-{}-{chat}", settings.seed));
@@ -124,27 +131,27 @@
             "messages": messages,
         });
         let mut times = TokenTimes::default();
-        let answered = self
+        let reply = self
             .shared
             .client
             .chat(router, Bytes::from(body.to_string()), &options, |text| {
                 if !text.is_empty() {
-                    check.take(text);
-                    times.note(Instant::now());
+                    check.push_text(text);
+                    times.record(Instant::now());
                 }
             })
             .await;
-        let complete = answered
+        let complete = reply
             .as_ref()
             .is_ok_and(|answer| answer.outcome == "complete");
-        self.note_violation(check.finish(complete), router);
-        if complete && let Ok(answer) = &answered {
-            self.note_chat(answer, chat, turn, &times);
+        self.record_violation(check.finish(complete), router);
+        if complete && let Ok(answer) = &reply {
+            self.record_chat(answer, chat, turn, &times);
         }
-        Tried::of(&answered)
+        AttemptResult::of(&reply)
     }
 
-    async fn try_service(&self, router: &str) -> Tried {
+    async fn try_service(&self, router: &str) -> AttemptResult {
         let settings = &self.shared.settings;
         let order = self.arrival.work == Work::Order;
         let path = format!(
@@ -161,7 +168,7 @@
         } else {
             http::Method::GET
         };
-        let answered = self
+        let reply = self
             .shared
             .client
             .service(
@@ -172,23 +179,23 @@
                 &options,
             )
             .await;
-        if let Ok(answer) = &answered
+        if let Ok(answer) = &reply
             && answer.outcome == "complete"
         {
-            let found =
+            let violation =
                 check_service_answer(&answer.body, &service_order(settings, &self.arrival), order);
-            self.note_violation(found, router);
-            self.with_class(|class| class.note_whole(self.elapsed_us()));
+            self.record_violation(violation, router);
+            self.with_class(|class| class.record_whole(self.elapsed_us()));
         }
-        Tried::of(&answered)
+        AttemptResult::of(&reply)
     }
 
-    fn note_chat(&self, answer: &ReadAnswer, chat: u64, turn: u32, times: &TokenTimes) {
+    fn record_chat(&self, answer: &ReadAnswer, chat: u64, turn: u32, times: &TokenTimes) {
         if let Some(warm) = &answer.warm {
             lock(&self.shared.warm).insert(chat, warm.clone());
         }
         self.with_class(|class| {
-            class.note_whole(self.elapsed_us());
+            class.record_whole(self.elapsed_us());
             if let Some(first) = times.first {
                 let first_us = (first - self.due).as_micros() as u64;
                 class.first_token_us.saturating_record(first_us);
@@ -208,7 +215,7 @@
         }
     }
 
-    fn count(&self, outcome: &AttemptOutcome) {
+    fn count_outcome(&self, outcome: &AttemptOutcome) {
         self.with_class(|class| match outcome {
             AttemptOutcome::Complete => {}
             AttemptOutcome::NotRun(code) => {
@@ -227,7 +234,7 @@
         let settings = &self.shared.settings;
         let identity = match self.arrival.work {
             Work::Chat { chat, turn, .. } => {
-                let messages = messages(settings, &self.arrival, chat, turn);
+                let messages = chat_messages(settings, &self.arrival, chat, turn);
                 format!("{:016x}", messages_hash(&messages))
             }
             Work::Lookup | Work::Order => service_order(settings, &self.arrival),
@@ -250,22 +257,22 @@
         }
     }
 
-    fn book(&self) -> &AddressBook {
-        &self.shared.books[self.arrival.number as usize % self.shared.books.len()]
+    fn address_cache(&self) -> &AddressCache {
+        &self.shared.address_caches[self.arrival.number as usize % self.shared.address_caches.len()]
     }
 
     fn elapsed_us(&self) -> u64 {
         self.due.elapsed().as_micros() as u64
     }
 
-    fn note_violation(&self, found: Option<Violation>, router: &str) {
+    fn record_violation(&self, found: Option<Violation>, router: &str) {
         let Some(mut violation) = found else { return };
         let (number, seed) = (self.arrival.number, self.shared.settings.seed);
         violation.detail = format!(
             "request {number} of seed {seed} through {router}: {}",
             violation.detail
         );
-        lock(&self.shared.statistics).note_violation(violation);
+        lock(&self.shared.statistics).record_violation(violation);
     }
 
     fn with_class<Change>(&self, change: Change)
@@ -276,16 +283,16 @@
     }
 }
 
-impl Tried {
+impl AttemptResult {
     fn new(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
-            repeat_after: REPEAT_AFTER,
+            retry_delay: DEFAULT_RETRY_DELAY,
         }
     }
 
-    fn of(answered: &Result<ReadAnswer, ClientError>) -> Self {
-        let answer = match answered {
+    fn of(reply: &Result<ReadAnswer, ClientError>) -> Self {
+        let answer = match reply {
             Ok(answer) => answer,
             Err(ClientError::Unreachable { .. }) => return Self::new(AttemptOutcome::Unreachable),
             Err(ClientError::Broken { .. }) => return Self::new(AttemptOutcome::Cut),
@@ -297,17 +304,17 @@
             "not-run" => AttemptOutcome::NotRun(code),
             _ => AttemptOutcome::Unknown(code),
         };
-        let asked_ms = error
+        let requested_ms = error
             .and_then(|error| error.retry_after_ms)
             .or_else(|| answer.retry_after_s.map(|seconds| seconds * 1_000));
         Self {
-            repeat_after: asked_ms.map_or(REPEAT_AFTER, Duration::from_millis),
+            retry_delay: requested_ms.map_or(DEFAULT_RETRY_DELAY, Duration::from_millis),
             outcome,
         }
     }
 }
 
-/// When the tokens of an answer came.
+/// Arrival times of the pieces of an answer.
 #[derive(Default)]
 struct TokenTimes {
     first: Option<Instant>,
@@ -316,7 +323,7 @@
 }
 
 impl TokenTimes {
-    fn note(&mut self, now: Instant) {
+    fn record(&mut self, now: Instant) {
         if let Some(last) = self.last {
             self.gaps_us.push((now - last).as_micros() as u64);
         }
--- a/crates/sapphiretrack-bench/src/load/settings.rs
+++ b/crates/sapphiretrack-bench/src/load/settings.rs
@@ -1,4 +1,4 @@
-//! What load is offered, and how it is set on the command line.
+//! The settings of a load and their command-line flags.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -7,71 +7,71 @@
 use serde::Serialize;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// The load of one customer's callers.
+/// The settings of a load by the callers of one customer.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadSettings {
-    /// Routers that are asked for addresses first: `http://IP:PORT`.
+    /// Routers for address lookups: `http://IP:PORT`.
     pub entries: Vec<String>,
-    /// A key of the customer's contract.
+    /// A caller key of the customer's contract.
     #[serde(skip)]
     pub key: String,
-    /// The availability zone that callers name in lookups.
+    /// Availability zone that callers name in lookups.
     pub zone: Option<String>,
-    /// The model that chats ask for.
+    /// The model that chats request.
     pub model: String,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: String,
-    /// The path of non-idempotent orders at the service.
+    /// Path of non-idempotent requests at the service.
     pub order_path: String,
-    /// The path of lookups at the service.
+    /// Path of idempotent requests at the service.
     pub lookup_path: String,
-    /// Arrivals a second, on average.
+    /// Mean number of arrivals per second.
     pub requests_per_s: f64,
-    /// How long arrivals come.
+    /// Duration of the arrivals.
     pub duration_s: f64,
-    /// The most arrivals; 0 for no bound.
+    /// Maximum number of arrivals; 0 for no limit.
     pub max_requests: u64,
-    /// What all random choices come from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Processes of callers, each with addresses of its own.
+    /// Number of caller processes, each with its own cached router addresses.
     pub callers: usize,
-    /// Workspaces of the customer.
+    /// Number of workspaces of the customer.
     pub workspaces: usize,
-    /// How steeply the workspaces' shares fall: share n is in proportion to `n ^ -exponent`.
+    /// Zipf exponent of the workspaces' shares: share n is proportional to `n ^ -exponent`.
     pub zipf_exponent: f64,
     /// The classes and their shares.
     pub classes: Vec<ClassMix>,
-    /// The share of chat arrivals that are due chats coming back.
+    /// Share of chat arrivals that continue a paused chat, if one is due.
     pub returning_share: f64,
-    /// The share of returning chats that send the warm value back.
+    /// Share of chat requests that return the warm value of an earlier answer, if there is one.
     pub warm_share: f64,
-    /// How long a chat pauses, on average.
+    /// Mean pause between two turns of a chat.
     pub pause_mean_ms: f64,
-    /// Turns after which a chat is over.
+    /// Maximum number of turns of a chat.
     pub max_turns: u32,
-    /// The share of arrivals that call the plain service.
+    /// Share of arrivals that are requests to the plain service.
     pub service_share: f64,
-    /// The share of those that are non-idempotent orders.
+    /// Share of non-idempotent orders among these.
     pub order_share: f64,
-    /// Bytes of the text that a workspace's chats share.
+    /// Length of the text shared by a workspace's chats.
     pub preamble_bytes: usize,
-    /// Bytes of text that each turn adds.
+    /// Length of the text that each turn adds.
     pub turn_bytes: usize,
-    /// Tokens of an answer.
+    /// Number of tokens per answer.
     pub answer_tokens: u32,
-    /// Requests in flight at a time; later ones wait, and their wait counts.
+    /// Maximum number of requests in flight. Others wait, and their wait counts as latency.
     pub max_in_flight: usize,
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// When an attempt without an end is given up.
+    /// Time limit of an attempt.
     pub answer_limit_ms: u64,
-    /// Where the report goes as a JSON line.
+    /// File to which the report is appended as a JSON line.
     #[serde(skip)]
     pub json: Option<PathBuf>,
-    /// Where the plot goes.
+    /// File to which the plot is written.
     #[serde(skip)]
     pub plot: Option<PathBuf>,
-    /// Whether progress is written while the load runs.
+    /// Whether progress is printed while the load runs.
     #[serde(skip)]
     pub progress: bool,
 }
@@ -116,19 +116,19 @@
     }
 }
 
-/// A class's share of the arrivals.
+/// A class of requests and its share of the arrivals.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassMix {
-    /// The class's name in the contract.
+    /// Name of the class in the contract.
     pub name: String,
-    /// Its weight against the other classes.
+    /// Its weight relative to the other classes.
     pub share: f64,
-    /// When a whole answer counts as late.
+    /// Time from the scheduled arrival after which a complete answer counts as late.
     pub late_after_ms: u64,
 }
 
 impl ClassMix {
-    /// A class with its weight and when its answers are late.
+    /// Creates a class.
     pub fn new(name: &str, share: f64, late_after_ms: u64) -> Self {
         Self {
             name: name.to_owned(),
@@ -141,7 +141,7 @@
 impl FromStr for ClassMix {
     type Err = String;
 
-    /// Reads `NAME=SHARE:LATE_AFTER_MS`.
+    /// Parses `NAME=SHARE:LATE_AFTER_MS`.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let parsed = text.split_once('=').and_then(|(name, rest)| {
             let (share, late_after_ms) = rest.split_once(':')?;
@@ -151,20 +151,20 @@
                 late_after_ms.parse().ok()?,
             ))
         });
-        parsed.ok_or_else(|| format!("{text:?} is no NAME=SHARE:LATE_AFTER_MS"))
+        parsed.ok_or_else(|| format!("{text:?} does not have the form NAME=SHARE:LATE_AFTER_MS"))
     }
 }
 
-/// Why the settings of a load are refused.
+/// An error in the settings of a load.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The command line cannot be read.
-    #[snafu(display("the command line cannot be read: {source}; hint: see --help"))]
+    /// A flag has no value, or one that cannot be parsed.
+    #[snafu(display("invalid command line: {source}; hint: see --help"))]
     CommandLine {
-        /// Why.
+        /// The parser's error.
         source: pico_args::Error,
     },
-    /// An argument that no flag takes.
+    /// An argument is not known.
     #[snafu(display("unknown argument {argument:?}; hint: see --help"))]
     UnknownArgument {
         /// The argument.
@@ -175,12 +175,12 @@
     Value {
         /// The flag.
         flag: &'static str,
-        /// What is wrong with it.
+        /// Why the value is invalid.
         problem: &'static str,
     },
 }
 
-/// Reads the settings of a load from the command line.
+/// Parses the settings of a load from the command line.
 pub fn parse_load_settings(mut arguments: Arguments) -> Result<LoadSettings, SettingsError> {
     let entries = arguments.values_from_str("--entry");
     let classes = arguments.values_from_str("--class");
@@ -261,39 +261,71 @@
         (
             "--rate",
             positive(settings.requests_per_s),
-            "is not above 0",
+            "must be above 0",
         ),
         (
             "--duration-s",
             positive(settings.duration_s),
-            "is not above 0",
+            "must be above 0",
+        ),
+        ("--callers", settings.callers > 0, "must be above 0"),
+        ("--workspaces", settings.workspaces > 0, "must be above 0"),
+        (
+            "--zipf",
+            settings.zipf_exponent >= 0.0,
+            "must not be negative",
+        ),
+        (
+            "--class",
+            positive(weights),
+            "must have a total share above 0",
         ),
-        ("--callers", settings.callers > 0, "is 0"),
-        ("--workspaces", settings.workspaces > 0, "is 0"),
-        ("--zipf", settings.zipf_exponent >= 0.0, "is below 0"),
-        ("--class", positive(weights), "has no share above 0"),
         (
             "--returning-share",
             share(settings.returning_share),
-            "is no share",
+            "must be from 0 to 1",
+        ),
+        (
+            "--warm-share",
+            share(settings.warm_share),
+            "must be from 0 to 1",
         ),
-        ("--warm-share", share(settings.warm_share), "is no share"),
         (
             "--service-share",
             share(settings.service_share),
-            "is no share",
+            "must be from 0 to 1",
+        ),
+        (
+            "--order-share",
+            share(settings.order_share),
+            "must be from 0 to 1",
         ),
-        ("--order-share", share(settings.order_share), "is no share"),
         (
             "--pause-mean-ms",
             positive(settings.pause_mean_ms),
-            "is not above 0",
+            "must be above 0",
+        ),
+        ("--max-turns", settings.max_turns > 0, "must be above 0"),
+        (
+            "--answer-tokens",
+            settings.answer_tokens > 0,
+            "must be above 0",
+        ),
+        (
+            "--max-in-flight",
+            settings.max_in_flight > 0,
+            "must be above 0",
+        ),
+        (
+            "--max-attempts",
+            settings.max_attempts > 0,
+            "must be above 0",
+        ),
+        (
+            "--answer-limit-ms",
+            settings.answer_limit_ms > 0,
+            "must be above 0",
         ),
-        ("--max-turns", settings.max_turns > 0, "is 0"),
-        ("--answer-tokens", settings.answer_tokens > 0, "is 0"),
-        ("--max-in-flight", settings.max_in_flight > 0, "is 0"),
-        ("--max-attempts", settings.max_attempts > 0, "is 0"),
-        ("--answer-limit-ms", settings.answer_limit_ms > 0, "is 0"),
     ];
     for (flag, holds, problem) in checks {
         ensure!(holds, ValueSnafu { flag, problem });
--- a/crates/sapphiretrack-bench/src/load/shared.rs
+++ b/crates/sapphiretrack-bench/src/load/shared.rs
@@ -1,4 +1,4 @@
-//! What the requests of a load share.
+//! State shared by all requests of a load.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicBool;
@@ -6,24 +6,24 @@
 
 use sapphiretrack_caller::CallerClient;
 
-use crate::load::entries::AddressBook;
+use crate::load::entries::AddressCache;
 use crate::load::history::RequestRecord;
 use crate::load::settings::LoadSettings;
 use crate::load::statistics::Statistics;
 
-/// What the requests of a load share.
+/// State shared by all requests of a load.
 pub(crate) struct Shared {
     pub(crate) settings: LoadSettings,
-    pub(crate) books: Vec<AddressBook>,
+    pub(crate) address_caches: Vec<AddressCache>,
     pub(crate) client: CallerClient,
     pub(crate) statistics: Mutex<Statistics>,
     pub(crate) history: Mutex<Vec<RequestRecord>>,
-    /// Where each chat is warm, as answers said.
+    /// The latest warm value of each chat, by the chat's number.
     pub(crate) warm: Mutex<BTreeMap<u64, String>>,
     pub(crate) stopped: AtomicBool,
 }
 
-/// Locks; a panic elsewhere leaves statistics that can still be read.
+/// Locks a mutex even if it is poisoned: the statistics stay readable after a panic of a task.
 pub(crate) fn lock<Value>(mutex: &Mutex<Value>) -> MutexGuard<'_, Value> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/sapphiretrack-bench/src/load/statistics.rs
+++ b/crates/sapphiretrack-bench/src/load/statistics.rs
@@ -1,4 +1,4 @@
-//! What a load met, by class.
+//! The statistics of a load, by class.
 
 use std::collections::BTreeMap;
 
@@ -8,74 +8,74 @@
 use crate::load::check::Violation;
 use crate::load::settings::ClassMix;
 
-/// The longest time that is told apart: ten minutes.
-const MAX_US: u64 = 600_000_000;
-/// Digits of a time that are kept.
+/// Longest time that a histogram resolves: ten minutes. Longer times are recorded as this one.
+const MAX_RECORDED_US: u64 = 600_000_000;
+/// Significant decimal digits of a recorded time.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Violations that are kept with what shows them.
-const MAX_VIOLATIONS: usize = 100;
+/// Maximum number of violations that are kept with their evidence; all are counted.
+const MAX_KEPT_VIOLATIONS: usize = 100;
 
-/// What a load met.
+/// The statistics of a load.
 #[derive(Clone, Debug)]
 pub struct Statistics {
-    /// By class, in the order of the settings.
+    /// The classes, in the order of the settings.
     pub classes: Vec<ClassStatistics>,
-    /// Prompt tokens of whole chat answers.
+    /// Prompt tokens of complete chat answers.
     pub prompt_tokens: u64,
-    /// Of them, those found in a cache.
+    /// Of these, the tokens found in an engine's cache.
     pub cached_tokens: u64,
-    /// Prompt tokens of whole answers to returning chats.
+    /// Prompt tokens of complete answers to turns after a chat's first.
     pub returning_prompt_tokens: u64,
-    /// Of them, those found in a cache.
+    /// Of these, the tokens found in an engine's cache.
     pub returning_cached_tokens: u64,
-    /// Broken promises, counted.
+    /// Number of violated guarantees.
     pub violation_count: u64,
-    /// The first of them.
+    /// The first violations.
     pub violations: Vec<Violation>,
 }
 
-/// What the requests of a class met.
+/// The statistics of a class.
 #[derive(Clone, Debug)]
 pub struct ClassStatistics {
-    /// The class.
+    /// Name of the class.
     pub name: String,
-    /// When a whole answer counts as late.
+    /// Time from the scheduled arrival after which a complete answer counts as late.
     pub late_after_ms: u64,
-    /// What came of its requests.
+    /// Counts of its requests and attempts by outcome.
     pub counts: ClassCounts,
     /// Time to the first token, from the scheduled arrival.
     pub first_token_us: Histogram<u64>,
-    /// Time between two tokens.
+    /// Time between two pieces of an answer.
     pub between_tokens_us: Histogram<u64>,
-    /// Time to the whole answer, from the scheduled arrival.
+    /// Time to the complete answer, from the scheduled arrival.
     pub whole_us: Histogram<u64>,
 }
 
-/// What came of a class's requests.
+/// Counts of a class's requests and attempts by outcome.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ClassCounts {
     /// Requests that arrived.
     pub sent: u64,
-    /// Requests that got their whole answer.
+    /// Requests that got a complete answer.
     pub whole: u64,
-    /// Of them, those that got it late.
+    /// Of these, the requests that got it late.
     pub late: u64,
-    /// Requests that waited for a place among those in flight.
+    /// Requests that waited because the maximum number of requests was in flight.
     pub delayed: u64,
-    /// Attempts that were refused as not run, by code.
+    /// Attempts reported as not run, by error code.
     pub refused: BTreeMap<String, u64>,
-    /// Attempts that may have run, by code.
+    /// Attempts reported as possibly run, by error code.
     pub unknown: BTreeMap<String, u64>,
     /// Attempts whose connection broke.
     pub cut: u64,
-    /// Attempts that found no connection.
+    /// Attempts that could not connect.
     pub unreachable: u64,
-    /// Attempts without an end in time.
+    /// Attempts that did not end within their time limit.
     pub no_end: u64,
 }
 
 impl Statistics {
-    /// Empty statistics for the classes.
+    /// Creates empty statistics for the classes.
     pub fn new(classes: &[ClassMix]) -> Self {
         Self {
             classes: classes.iter().map(ClassStatistics::new).collect(),
@@ -88,30 +88,30 @@
         }
     }
 
-    /// Notes a broken promise.
-    pub fn note_violation(&mut self, violation: Violation) {
+    /// Records a violated guarantee.
+    pub fn record_violation(&mut self, violation: Violation) {
         self.violation_count += 1;
-        if self.violations.len() < MAX_VIOLATIONS {
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
             self.violations.push(violation);
         }
     }
 
-    /// Requests that arrived.
+    /// Returns the number of requests that arrived.
     pub fn sent(&self) -> u64 {
         self.classes.iter().map(|class| class.counts.sent).sum()
     }
 
-    /// Requests that got their whole answer.
+    /// Returns the number of requests that got a complete answer.
     pub fn whole(&self) -> u64 {
         self.classes.iter().map(|class| class.counts.whole).sum()
     }
 
-    /// The share of prompt tokens found in a cache.
+    /// Returns the share of prompt tokens that were found in an engine's cache.
     pub fn cached_share(&self) -> f64 {
         share(self.cached_tokens, self.prompt_tokens)
     }
 
-    /// The same of returning chats alone.
+    /// Returns the same share for turns after a chat's first.
     pub fn returning_cached_share(&self) -> f64 {
         share(self.returning_cached_tokens, self.returning_prompt_tokens)
     }
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Notes a whole answer.
-    pub fn note_whole(&mut self, whole_us: u64) {
+    /// Records a complete answer and its time from the scheduled arrival.
+    pub fn record_whole(&mut self, whole_us: u64) {
         self.counts.whole += 1;
         self.whole_us.saturating_record(whole_us);
         if whole_us > self.late_after_ms.saturating_mul(1_000) {
@@ -140,7 +140,8 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
+        .expect("the histogram bounds are valid")
 }
 
 fn share(part: u64, whole: u64) -> f64 {
--- a/crates/sapphiretrack-bench/src/load/texts.rs
+++ b/crates/sapphiretrack-bench/src/load/texts.rs
@@ -1,37 +1,37 @@
-//! The texts of requests: a function of the settings and the arrival alone.
+//! The texts of requests, which depend only on the settings and the arrival.
 
 use serde_json::json;
 
 use crate::load::arrivals::{Arrival, Work};
 use crate::load::settings::LoadSettings;
 
-/// The messages of a chat's turn: each turn starts with all that the turn before had.
-pub(crate) fn messages(
+/// Returns the messages of a chat's turn. They start with the texts of all earlier turns.
+pub(crate) fn chat_messages(
     settings: &LoadSettings,
     arrival: &Arrival,
     chat: u64,
     turn: u32,
 ) -> serde_json::Value {
-    // The model tells the texts of two loads of one seed apart.
+    // The model's name makes the texts of two loads with the same seed differ.
     let model = &settings.model;
-    let opening = format!("{model}: notes of workspace {}; ", arrival.workspace);
-    let preamble = filled(&opening, settings.preamble_bytes);
+    let prefix = format!("{model}: notes of workspace {}; ", arrival.workspace);
+    let preamble = repeat_to_length(&prefix, settings.preamble_bytes);
     let mut messages = vec![json!({ "role": "system", "content": preamble })];
     for number in 0..=turn {
-        let opening = format!(
+        let prefix = format!(
             "{model}: load {} chat {chat} turn {number}; ",
             settings.seed
         );
-        let content = filled(&opening, settings.turn_bytes);
+        let content = repeat_to_length(&prefix, settings.turn_bytes);
         messages.push(json!({ "role": "user", "content": content }));
     }
-    // A turn that was refused is asked again by a later arrival: the number tells them apart.
+    // The arrival's number makes the messages, and so their hash in the history, unique.
     let content = format!("request {}", arrival.number);
     messages.push(json!({ "role": "user", "content": content }));
     serde_json::Value::from(messages)
 }
 
-/// The path of a service call at its service.
+/// Returns the path of a service request at its service.
 pub(crate) fn service_path(settings: &LoadSettings, arrival: &Arrival) -> String {
     match arrival.work {
         Work::Order => settings.order_path.clone(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// The body of a service call; orders differ by their bodies.
+/// Returns the body of a service request. Each order has a different body.
 pub(crate) fn service_body(settings: &LoadSettings, arrival: &Arrival) -> String {
     match arrival.work {
         Work::Order => json!({ "load": settings.seed, "order": arrival.number }).to_string(),
@@ -50,7 +50,7 @@
     }
 }
 
-/// A service call as the stand-in service names it.
+/// Returns a service request's method, path and body as the fake service writes them.
 pub(crate) fn service_order(settings: &LoadSettings, arrival: &Arrival) -> String {
     let method = match arrival.work {
         Work::Order => "POST",
@@ -63,9 +63,9 @@
     format!("{method} /{path} {body}")
 }
 
-/// Text of so many bytes, made of an opening again and again; the opening is always whole.
-fn filled(opening: &str, bytes: usize) -> String {
-    let mut text = opening.repeat(bytes.div_ceil(opening.len()).max(1));
-    text.truncate(bytes.max(opening.len()));
+/// Repeats a text up to a length in bytes. The result has the text at least once, even if that is longer.
+fn repeat_to_length(pattern: &str, bytes: usize) -> String {
+    let mut text = pattern.repeat(bytes.div_ceil(pattern.len()).max(1));
+    text.truncate(bytes.max(pattern.len()));
     text
 }
--- a/crates/sapphiretrack-bench/tests/load.rs
+++ b/crates/sapphiretrack-bench/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load's arrivals, its check of answers, and its settings.
+//! Tests of the load's arrivals, its check of answers, its settings and its plot.
 
 use pico_args::Arguments;
 use sapphiretrack_bench::load::{
@@ -24,21 +24,21 @@
     parse_load_settings(Arguments::from_vec(arguments)).map_err(|error| error.to_string())
 }
 
-/// An answer as the stand-in engine gives it.
+/// Returns a token of the answer as the fake engine writes it.
 fn token(index: u32) -> String {
     token_text(sapphiretrack_fakes::answer_tag(&messages()), index)
 }
 
-fn judge(tokens: &[String], complete: bool) -> Option<ViolationKind> {
+fn check_answer(tokens: &[String], complete: bool) -> Option<ViolationKind> {
     let mut check = AnswerCheck::new(&messages(), 4);
     for token in tokens {
-        check.take(token);
+        check.push_text(token);
     }
     check.finish(complete).map(|violation| violation.kind)
 }
 
 #[test]
-fn arrivals_are_a_function_of_the_seed() {
+fn arrivals_are_deterministic_for_a_seed() {
     let first: Vec<_> = Arrivals::new(&settings()).collect();
     let again: Vec<_> = Arrivals::new(&settings()).collect();
     assert_eq!(first, again);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn arrivals_have_the_rate_and_the_mix_that_were_asked_for() {
+fn arrivals_have_the_configured_rate_and_mix() {
     let arrivals: Vec<_> = Arrivals::new(&settings()).collect();
     let count = arrivals.len() as f64;
     // Four standard deviations of a Poisson count of 10,000.
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_chat_returns_to_its_workspace_turn_by_turn() {
+fn a_chat_continues_turn_by_turn_in_its_workspace() {
     let mut last = std::collections::BTreeMap::new();
     let mut returned = 0;
     for arrival in Arrivals::new(&settings()) {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_bound_on_arrivals_holds() {
+fn max_requests_limits_the_number_of_arrivals() {
     let bounded = LoadSettings {
         max_requests: 17,
         ..settings()
@@ -104,28 +104,31 @@
 }
 
 #[test]
-fn a_whole_answer_passes_and_each_flaw_is_told() {
-    let whole: Vec<String> = (0..4).map(token).collect();
-    assert_eq!(judge(&whole, true), None);
+fn a_complete_answer_passes_and_each_violation_is_detected() {
+    let complete: Vec<String> = (0..4).map(token).collect();
+    assert_eq!(check_answer(&complete, true), None);
     assert_eq!(
-        judge(&whole[..2], false),
+        check_answer(&complete[..2], false),
         None,
-        "a cut that is told is none"
+        "a reported cut is no violation"
     );
-    assert_eq!(judge(&whole[..3], true), Some(ViolationKind::CutAsEnd));
-    assert_eq!(judge(&[], true), Some(ViolationKind::CutAsEnd));
-    let doubled = [token(0), token(1), token(1), token(2)];
-    assert_eq!(judge(&doubled, true), Some(ViolationKind::Doubled));
+    assert_eq!(
+        check_answer(&complete[..3], true),
+        Some(ViolationKind::CutAsEnd)
+    );
+    assert_eq!(check_answer(&[], true), Some(ViolationKind::CutAsEnd));
+    let duplicate = [token(0), token(1), token(1), token(2)];
+    assert_eq!(check_answer(&duplicate, true), Some(ViolationKind::Doubled));
     let missing = [token(0), token(2), token(3), token(3)];
-    assert_eq!(judge(&missing, true), Some(ViolationKind::Missing));
+    assert_eq!(check_answer(&missing, true), Some(ViolationKind::Missing));
     let foreign = [token(0), String::from("zzzz-1 ")];
-    assert_eq!(judge(&foreign, false), Some(ViolationKind::Foreign));
+    assert_eq!(check_answer(&foreign, false), Some(ViolationKind::Foreign));
     let too_long: Vec<String> = (0..5).map(token).collect();
-    assert_eq!(judge(&too_long, true), Some(ViolationKind::Foreign));
+    assert_eq!(check_answer(&too_long, true), Some(ViolationKind::Foreign));
 }
 
 #[test]
-fn a_service_answer_names_its_own_order_and_ran_once() {
+fn a_service_answer_must_name_its_order_and_a_first_run() {
     let kind = |body: &str, order| {
         check_service_answer(body, "POST /x 1", order).map(|violation| violation.kind)
     };
@@ -139,42 +142,45 @@
 }
 
 #[test]
-fn settings_are_read_and_each_flaw_is_told() {
-    let read = parse("--entry http://127.0.0.1:1 --class alarm=0.5:900 --rate 7 --quiet")
-        .expect("good settings");
-    assert_eq!(read.classes, [ClassMix::new("alarm", 0.5, 900)]);
-    assert_eq!((read.requests_per_s, read.progress), (7.0, false));
-    let flaws = [
+fn valid_settings_are_parsed_and_invalid_ones_rejected() {
+    let parsed = parse("--entry http://127.0.0.1:1 --class alarm=0.5:900 --rate 7 --quiet")
+        .expect("the settings are valid");
+    assert_eq!(parsed.classes, [ClassMix::new("alarm", 0.5, 900)]);
+    assert_eq!((parsed.requests_per_s, parsed.progress), (7.0, false));
+    let invalid = [
         ("--rate 5", "--entry is missing"),
-        ("--entry u --rate 0", "--rate is not above 0"),
-        ("--entry u --rate x", "cannot be read"),
-        ("--entry u --class alarm", "cannot be read"),
+        ("--entry u --rate 0", "--rate must be above 0"),
+        ("--entry u --rate x", "invalid command line"),
+        ("--entry u --class alarm", "invalid command line"),
         (
             "--entry u --service-share 1.5",
-            "--service-share is no share",
+            "--service-share must be from 0 to 1",
         ),
-        ("--entry u --workspaces 0", "--workspaces is 0"),
+        ("--entry u --workspaces 0", "--workspaces must be above 0"),
         ("--entry u --colour blue", "unknown argument"),
     ];
-    for (line, told) in flaws {
+    for (line, expected) in invalid {
         let error = parse(line).expect_err(line);
-        assert!(error.contains(told), "{line}: {error}");
+        assert!(error.contains(expected), "{line}: {error}");
     }
 }
 
 #[test]
-fn the_plot_has_a_line_for_each_class_that_was_answered() {
+fn the_plot_has_a_line_for_each_class_with_answers() {
     let mut statistics = Statistics::new(&settings().classes);
     let path = std::env::temp_dir().join(format!("sapphiretrack-{}.svg", std::process::id()));
-    plot_svg(&path, &statistics).expect("an empty plot");
-    let empty = std::fs::read_to_string(&path).expect("the plot is there");
+    plot_svg(&path, &statistics).expect("the empty plot is written");
+    let empty = std::fs::read_to_string(&path).expect("the plot can be read");
     for class in &mut statistics.classes {
         for us in [900, 12_000, 400_000] {
-            class.first_token_us.record(us).expect("within bounds");
+            class
+                .first_token_us
+                .record(us)
+                .expect("the time is within the bounds");
         }
     }
-    plot_svg(&path, &statistics).expect("a plot");
-    let plot = std::fs::read_to_string(&path).expect("the plot is there");
+    plot_svg(&path, &statistics).expect("the plot is written");
+    let plot = std::fs::read_to_string(&path).expect("the plot can be read");
     std::fs::remove_file(&path).expect("the plot is removed");
     let lines = |text: &str| {
         let polylines = text.lines().filter(|line| line.contains("<polyline"));
