--- a/crates/sapphiretrack-bench/src/soak/command.rs
+++ b/crates/sapphiretrack-bench/src/soak/command.rs
@@ -17,35 +17,36 @@
 use crate::soak::deployment::DEPLOYMENTS;
 use crate::soak::evidence::{ChangeState, Evidence, VersionSeen};
 use crate::soak::injector::Injector;
-use crate::soak::operators::{Change, settle};
+use crate::soak::operators::{Change, resolve_outcome};
 use crate::soak::plan::plan;
 use crate::soak::report::SoakReport;
 use crate::soak::settings::{SoakSettings, parse_soak_settings};
-use crate::soak::verdict::judge;
-use crate::soak::watch::{Watchlist, watch_versions};
+use crate::soak::violations::find_violations;
+use crate::soak::watch::{WatchList, watch_versions};
 
 const HELP: &str = "\
-sapphiretrack-bench soak: a fleet of processes under load and random faults, its history checked
+sapphiretrack-bench soak: runs a fleet under load and random faults and checks its history
 
-  --minutes N        how long load and faults come [10]
-  --seed N           what the load and the faults come from [1]
-  --routers N        routers [9]
-  --rate N           arrivals a second of each of the two deployments [25]
-  --requests N       the most arrivals of each; 0 for no bound [0]
-  --faults N         the most faults; 0 for no bound [0]
-  --fault-mean-ms N  time between two faults, on average [2000]
-  --json FILE        adds the report to a file as a JSON line
-  --seeds FILE       adds a line to a file if a promise was broken
-  --show-plan        prints the faults that the seed gives, as JSON lines, and causes none
-  --quiet            no progress
+  --minutes N        duration of the load and the faults [10]
+  --seed N           seed of the load and the faults [1]
+  --routers N        number of routers [9]
+  --rate N           mean arrivals per second of each of the two deployments [25]
+  --requests N       maximum number of arrivals of each; 0 for no limit [0]
+  --faults N         maximum number of faults; 0 for no limit [0]
+  --fault-mean-ms N  mean time between two faults [2000]
+  --json FILE        appends the report to a file as a JSON line
+  --seeds FILE       appends a line to a file if a guarantee was violated
+  --show-plan        prints the seed's faults as JSON lines and injects none
+  --quiet            prints no progress
 
-The programs `sapphiretrackd` and `sapphiretrack-fakes` have to lie beside this one. The exit
-code is 0 only if every promise held, 1 if one was broken.
+The programs `sapphiretrackd` and `sapphiretrack-fakes` must be in the directory of this one. The
+exit code is 0 only if no guarantee was violated, and 1 if one was.
 ";
-/// The wait for what is still on its way at servers before their counts are read.
-const LAST_RUNS: Duration = Duration::from_secs(1);
+/// Delay before the servers' counts are read, for requests that are still on their way to a server.
+const LAST_RUNS_DELAY: Duration = Duration::from_secs(1);
 
-/// Runs the subcommand; an error says what is wrong, `false` that a promise was broken.
+/// Runs the subcommand. Returns `false` if a guarantee was violated, and an error if the command
+/// line is invalid or a result cannot be written.
 pub fn run(mut arguments: Arguments) -> Result<bool, String> {
     if arguments.contains(["-h", "--help"]) {
         print!("{HELP}");
@@ -67,11 +68,11 @@
         append_json_line(path, &report)?;
     }
     if let Some(path) = &settings.seeds
-        && !report.held()
+        && !report.passed()
     {
-        keep_seed(path, &report)?;
+        append_failing_seed(path, &report)?;
     }
-    Ok(report.held())
+    Ok(report.passed())
 }
 
 async fn soak(settings: &SoakSettings) -> SoakReport {
@@ -79,30 +80,30 @@
     let mut evidence = Evidence::default();
     let fleet = start_fleet(settings).await;
     apply_contracts(&fleet, &mut evidence).await;
-    let (known, watchlist) = (KnownRouters::default(), Watchlist::default());
+    let (known, watchlist) = (KnownRouters::default(), WatchList::default());
     let next_change = DEPLOYMENTS.len() as u64;
     let mut injector = Injector::new(fleet, known.clone(), watchlist.clone(), next_change);
     let seen: Arc<Mutex<Vec<VersionSeen>>> = Arc::default();
-    let watching = tokio::spawn(watch_versions(watchlist, seen.clone()));
-    let (over, load_over) = watch::channel(false);
+    let watch_task = tokio::spawn(watch_versions(watchlist, seen.clone()));
+    let (load_over_sender, load_over) = watch::channel(false);
     let faults = plan(settings);
     let (outcomes, ()) = tokio::join!(
         async {
             let outcomes = run_loads(settings, &known).await;
-            over.send_replace(true);
+            load_over_sender.send_replace(true);
             outcomes
         },
         injector.run(&faults, load_over)
     );
-    let loads = take_outcomes(settings, outcomes, &mut evidence);
-    gather(&mut injector, &mut evidence).await;
-    watching.abort();
+    let loads = record_load_outcomes(settings, outcomes, &mut evidence);
+    collect_evidence(&mut injector, &mut evidence).await;
+    watch_task.abort();
     evidence.versions = std::mem::take(&mut *seen.lock().unwrap_or_else(PoisonError::into_inner));
-    let found = judge(&evidence);
+    let found = find_violations(&evidence);
     let mut report = SoakReport::new(settings, &evidence, &found);
     report.loads = loads;
-    let caused = injector.caused.iter();
-    report.faults = caused
+    let injected = injector.injected.iter();
+    report.faults = injected
         .map(|(name, count)| ((*name).to_owned(), *count))
         .collect();
     report
@@ -162,7 +163,7 @@
     vec![first, second]
 }
 
-fn take_outcomes(
+fn record_load_outcomes(
     settings: &SoakSettings,
     outcomes: Vec<LoadOutcome>,
     evidence: &mut Evidence,
@@ -177,8 +178,8 @@
     loads
 }
 
-/// Reads what the fleet says once all faults are taken back.
-async fn gather(injector: &mut Injector, evidence: &mut Evidence) {
+/// Collects the final state of the fleet after all faults have been removed.
+async fn collect_evidence(injector: &mut Injector, evidence: &mut Evidence) {
     while let Some(stop) = injector.stops.join_next().await {
         evidence.stops.extend(stop.ok());
     }
@@ -188,13 +189,13 @@
     evidence.killed = injector.killed.clone();
     let fleet = &injector.fleet;
     if !fleet.settles().await {
-        let detail = String::from("the routers do not all see all routers and servers");
+        let detail = String::from("not all routers see all routers and servers");
         let violation = Violation::new(ViolationKind::NotSettled, detail);
         evidence.violations.push(violation);
     }
     for change in &mut evidence.changes {
-        if change.state == ChangeState::Unsettled {
-            change.state = settle(&fleet.operator(0), &change.change_id).await;
+        if change.state == ChangeState::Unresolved {
+            change.state = resolve_outcome(&fleet.operator(0), &change.change_id).await;
         }
     }
     let newest = newest_accepted(evidence);
@@ -202,16 +203,16 @@
         .comes_to(|status| status.config_version >= newest)
         .await
     {
-        let detail = format!("version {newest} is not in force everywhere");
+        let detail = format!("version {newest} is not in force on all routers");
         let violation = Violation::new(ViolationKind::ChangeLost, detail);
         evidence.violations.push(violation);
     }
-    tokio::time::sleep(LAST_RUNS).await;
-    gather_runs(fleet, evidence).await;
-    gather_configuration(fleet, evidence).await;
+    tokio::time::sleep(LAST_RUNS_DELAY).await;
+    collect_runs(fleet, evidence).await;
+    collect_configuration(fleet, evidence).await;
 }
 
-async fn gather_runs(fleet: &Fleet, evidence: &mut Evidence) {
+async fn collect_runs(fleet: &Fleet, evidence: &mut Evidence) {
     for server in &fleet.servers {
         let address = server.vm.address;
         let VmRole::Server { kind, .. } = &server.vm.role else {
@@ -233,13 +234,13 @@
     }
 }
 
-async fn gather_configuration(fleet: &Fleet, evidence: &mut Evidence) {
+async fn collect_configuration(fleet: &Fleet, evidence: &mut Evidence) {
     for (index, router) in fleet.routers.iter().enumerate() {
         let (operator, name) = (fleet.operator(index), &router.vm.name);
         let history = operator.history().await.unwrap_or_default();
-        let told = history.into_iter();
-        let told = told.map(|line| (line.version, line.change_id)).collect();
-        evidence.told.insert(name.clone(), told);
+        let changes = history.into_iter();
+        let changes = changes.map(|line| (line.version, line.change_id)).collect();
+        evidence.histories.insert(name.clone(), changes);
         for deployment in DEPLOYMENTS {
             let customer = deployment.customer;
             let shown = operator.show(customer).await;
@@ -253,12 +254,12 @@
 fn newest_accepted(evidence: &Evidence) -> u64 {
     let versions = evidence.changes.iter().map(|change| match change.state {
         ChangeState::Accepted(version) => version,
-        ChangeState::Refused | ChangeState::Unsettled => 0,
+        ChangeState::Refused | ChangeState::Unresolved => 0,
     });
     versions.max().unwrap_or_default()
 }
 
-fn keep_seed(path: &Path, report: &SoakReport) -> Result<(), String> {
+fn append_failing_seed(path: &Path, report: &SoakReport) -> Result<(), String> {
     let with_path = |error: std::io::Error| format!("{}: {error}", path.display());
     let mut file = std::fs::OpenOptions::new()
         .append(true)
--- a/crates/sapphiretrack-bench/src/soak/deployment.rs
+++ b/crates/sapphiretrack-bench/src/soak/deployment.rs
@@ -1,11 +1,11 @@
-//! The two deployments whose sizes the soak has.
+//! The two deployments that the soak simulates together.
 
 use sapphiretrack_core::{hash_parts, sha256_hex};
 
 use crate::load::{ClassMix, LoadSettings};
 use crate::soak::settings::SoakSettings;
 
-/// A customer with its pools and its load.
+/// A customer with its pools, its contract and its load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deployment {
     pub(crate) customer: &'static str,
@@ -15,11 +15,11 @@
     pub(crate) services: usize,
     order_path: &'static str,
     lookup_path: &'static str,
-    /// Class, priority, share, deadline.
+    /// Name, priority, share of the arrivals, and deadline in milliseconds of each class.
     classes: &'static [(&'static str, u8, f64, u64)],
 }
 
-/// Both deployments.
+/// The deployments of the soak.
 pub(crate) const DEPLOYMENTS: [Deployment; 2] = [
     Deployment {
         customer: "teranga",
@@ -48,7 +48,8 @@
 ];
 
 impl Deployment {
-    /// The customer's contract; the number makes each change of it another one.
+    /// Returns the customer's contract. Each change number gives another rate limit, so that no two
+    /// changes are equal.
     pub(crate) fn contract_toml(&self, change: u64) -> String {
         let mut text = format!(
             r#"customer = "{}"
@@ -82,7 +83,7 @@
         text
     }
 
-    /// The load of the customer's callers.
+    /// Returns the settings of the customer's load.
     pub(crate) fn load(&self, settings: &SoakSettings) -> LoadSettings {
         let classes = self.classes.iter();
         LoadSettings {
@@ -94,11 +95,11 @@
             requests_per_s: settings.requests_per_s,
             duration_s: settings.minutes * 60.0,
             max_requests: settings.max_requests,
-            // Equal seeds would give both deployments the same texts, and the check could not
-            // tell whose request a stand-in ran.
+            // With equal seeds, both deployments would send the same texts, and the check could
+            // not tell whose request a fake server ran.
             seed: settings.seed ^ hash_parts(&[self.customer.as_bytes()]),
             classes: classes
-                .map(|(name, _, share, late_ms)| ClassMix::new(name, *share, *late_ms))
+                .map(|(name, _, share, late_after_ms)| ClassMix::new(name, *share, *late_after_ms))
                 .collect(),
             progress: false,
             ..LoadSettings::default()
--- a/crates/sapphiretrack-bench/src/soak/evidence.rs
+++ b/crates/sapphiretrack-bench/src/soak/evidence.rs
@@ -1,72 +1,72 @@
-//! What a soak has seen, for the check of the whole history.
+//! The observations of a soak, for the check of its history.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::load::{RequestRecord, Violation};
 
-/// All that a soak has seen.
+/// All observations of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// What became of each request.
+    /// All requests with their attempts.
     pub requests: Vec<RequestRecord>,
-    /// How often each order ran, over all plain services.
+    /// Number of runs of each service request, over all plain services.
     pub runs: BTreeMap<String, u32>,
-    /// The hashes of the messages of all chats that an engine started.
+    /// Hashes of the messages of all chats that an engine started.
     pub started_chats: BTreeSet<String>,
-    /// The planned stops.
+    /// The planned stops of routers.
     pub stops: Vec<StopRecord>,
-    /// Routers that were killed: `http://IP:PORT`.
+    /// The routers that were killed: `http://IP:PORT`.
     pub killed: BTreeSet<String>,
-    /// Configuration versions, in the order in which they were seen.
+    /// Configuration versions of the routers, in the order in which they were read.
     pub versions: Vec<VersionSeen>,
-    /// The operators' changes.
+    /// The operators' changes of contracts.
     pub changes: Vec<ChangeRecord>,
-    /// The history of changes as each router tells it at the end: change ids by version.
-    pub told: BTreeMap<String, BTreeMap<u64, String>>,
-    /// Each customer's contract as each router has it at the end: its version.
+    /// The change history that each router returned at the end, by router: change ids by version.
+    pub histories: BTreeMap<String, BTreeMap<u64, String>>,
+    /// The version of the contract that each router returned at the end, by router and customer.
     pub contract_versions: BTreeMap<(String, String), u64>,
-    /// What was found while the soak ran.
+    /// Violations found before the check of the history.
     pub violations: Vec<Violation>,
 }
 
-/// A planned stop.
+/// A planned stop of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StopRecord {
     /// The router: `http://IP:PORT`.
     pub router: String,
-    /// Its exit code; none if it did not end.
+    /// Its exit code; `None` if a signal ended it or it did not exit in time.
     pub exit_code: Option<i32>,
 }
 
-/// A configuration version that a router had in force.
+/// A configuration version that a router reported as in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionSeen {
-    /// The process, which a restart makes another one.
+    /// The router process; a restarted router counts as another one.
     pub process: String,
     /// The version.
     pub version: u64,
 }
 
-/// An operator's change.
+/// An operator's change of a contract.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeRecord {
     /// Its id.
     pub change_id: String,
-    /// Whose contract it changes.
+    /// The customer whose contract it changes.
     pub customer: String,
-    /// The version that its operator saw.
+    /// The version of the contract on which the change is based.
     pub seen_version: u64,
-    /// What came of it, once it is settled.
+    /// Its outcome.
     pub state: ChangeState,
 }
 
-/// What came of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ChangeState {
-    /// It made this version.
+    /// It was applied and created this version.
     Accepted(u64),
     /// It was not applied.
     Refused,
-    /// It could not be settled.
-    Unsettled,
+    /// It is not known whether it was applied.
+    Unresolved,
 }
--- a/crates/sapphiretrack-bench/src/soak/fake_faults.rs
+++ b/crates/sapphiretrack-bench/src/soak/fake_faults.rs
@@ -1,15 +1,16 @@
-//! The faults of a soak that the stand-ins of platform and servers act out.
+//! Injects the faults that the fake platform, engines and plain services simulate.
 
 use sapphiretrack_core::PoolKind;
 use sapphiretrack_fakes::{EngineFaults, PlatformFaults, ServiceFaults};
 
 use crate::soak::faults::Fault;
-use crate::soak::injector::{Heal, Injector};
+use crate::soak::injector::{Injector, Recovery};
 
 impl Injector {
-    pub(super) async fn fault_platform(&mut self, fault: Fault) -> bool {
+    /// Injects a fault of the platform; `false` for any other fault.
+    pub(super) async fn inject_platform_fault(&mut self, fault: Fault) -> bool {
         let none = PlatformFaults::default();
-        let (faults, healed_after_ms) = match fault {
+        let (faults, duration_ms) = match fault {
             Fault::PlatformDown { down_ms } => (PlatformFaults { down: true, ..none }, down_ms),
             Fault::PlatformSlow { slow_ms, delay_ms } => {
                 (PlatformFaults { delay_ms, ..none }, slow_ms)
@@ -38,15 +39,16 @@
         };
         let address = self.fleet.platform_address;
         self.fleet.set_faults(address, &faults).await;
-        if healed_after_ms > 0 {
-            self.heal_after(healed_after_ms, Heal::Platform);
+        if duration_ms > 0 {
+            self.schedule_recovery(duration_ms, Recovery::ClearPlatformFaults);
         }
         true
     }
 
-    pub(super) async fn fault_service(&mut self, fault: Fault) -> bool {
+    /// Injects a fault of a plain service; `false` for any other fault.
+    pub(super) async fn inject_service_fault(&mut self, fault: Fault) -> bool {
         let none = ServiceFaults::default();
-        let (service, faults, healed_after_ms) = match fault {
+        let (service, faults, duration_ms) = match fault {
             Fault::LoseServiceReplies { service, replies } => {
                 let lose_replies = replies;
                 (
@@ -75,15 +77,16 @@
         let server = self.pick_server(PoolKind::Service, service);
         let address = self.fleet.servers[server].vm.address;
         self.fleet.set_faults(address, &faults).await;
-        if healed_after_ms > 0 {
-            self.heal_after(healed_after_ms, Heal::Service { server });
+        if duration_ms > 0 {
+            self.schedule_recovery(duration_ms, Recovery::ClearServiceFaults { server });
         }
         true
     }
 
-    pub(super) async fn fault_engine(&mut self, fault: Fault) -> bool {
+    /// Injects a fault of an engine; `false` for any other fault.
+    pub(super) async fn inject_engine_fault(&mut self, fault: Fault) -> bool {
         let none = EngineFaults::default();
-        let (engine, faults, heal_ms) = match fault {
+        let (engine, faults, duration_ms) = match fault {
             Fault::CutStreams {
                 engine,
                 streams,
@@ -125,9 +128,9 @@
         let leaving = faults.leaving;
         self.fleet.set_faults(address, &faults).await;
         if leaving {
-            self.heal_after(heal_ms, Heal::Restart { server });
-        } else if heal_ms > 0 {
-            self.heal_after(heal_ms, Heal::Engine { server });
+            self.schedule_recovery(duration_ms, Recovery::RestartEngine { server });
+        } else if duration_ms > 0 {
+            self.schedule_recovery(duration_ms, Recovery::ClearEngineFaults { server });
         }
         true
     }
--- a/crates/sapphiretrack-bench/src/soak/faults.rs
+++ b/crates/sapphiretrack-bench/src/soak/faults.rs
@@ -2,134 +2,135 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A fault; indices count what is there at the time, modulo its number.
+/// A fault. Indices are taken modulo the number of the routers, servers or deployments that
+/// exist when the fault is injected.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "fault")]
 pub enum Fault {
-    /// A router is killed and starts again.
+    /// A router is killed, and started again later.
     KillRouter {
         /// The router.
         router: usize,
-        /// How long it is gone.
+        /// Time until it is started again.
         gone_ms: u64,
     },
-    /// A router is paused.
+    /// A router process is paused by a signal.
     PauseRouter {
         /// The router.
         router: usize,
-        /// How long.
+        /// Duration of the fault.
         pause_ms: u64,
     },
-    /// A router is stopped as planned and replaced.
+    /// A router makes a planned stop and is replaced by a new one.
     StopRouter {
         /// The router.
         router: usize,
-        /// Whether an operator asks for it, or else a signal.
+        /// Whether an operator's request stops it; otherwise a signal does.
         by_operator: bool,
     },
-    /// An engine cuts streams.
+    /// An engine cuts the streams of some answers.
     CutStreams {
         /// The engine.
         engine: usize,
-        /// How many.
+        /// Number of streams.
         streams: u32,
-        /// After how many tokens.
+        /// Number of tokens sent before the cut.
         after_tokens: u32,
     },
-    /// An engine answers under another attempt's id.
+    /// An engine answers some requests with the id of another attempt.
     CrossReplies {
         /// The engine.
         engine: usize,
-        /// How many.
+        /// Number of replies.
         replies: u32,
     },
-    /// An engine refuses requests before they start.
+    /// An engine refuses some requests before it runs them.
     RefuseRequests {
         /// The engine.
         engine: usize,
-        /// How many.
+        /// Number of requests.
         requests: u32,
     },
-    /// An engine freezes.
+    /// An engine stops responding for a while.
     FreezeEngine {
         /// The engine.
         engine: usize,
-        /// How long.
+        /// Duration of the fault.
         frozen_ms: u64,
     },
-    /// An engine says that it is leaving, and later starts again as another incarnation.
+    /// An engine announces that it is leaving, and is later restarted as a new incarnation.
     LeaveEngine {
         /// The engine.
         engine: usize,
-        /// How long it is leaving.
+        /// Time until it is restarted.
         leaving_ms: u64,
     },
-    /// An engine is killed and starts again as another incarnation.
+    /// An engine is killed and restarted as a new incarnation.
     RestartEngine {
         /// The engine.
         engine: usize,
     },
-    /// A plain service runs calls and loses the replies.
+    /// A plain service runs some requests and loses the replies.
     LoseServiceReplies {
         /// The service.
         service: usize,
-        /// How many.
+        /// Number of replies.
         replies: u32,
     },
-    /// A plain service answers under another attempt's id.
+    /// A plain service answers some requests with the id of another attempt.
     CrossServiceReplies {
         /// The service.
         service: usize,
-        /// How many.
+        /// Number of replies.
         replies: u32,
     },
-    /// A plain service refuses calls before they start.
+    /// A plain service refuses some requests before it runs them.
     RefuseCalls {
         /// The service.
         service: usize,
-        /// How many.
+        /// Number of requests.
         calls: u32,
     },
-    /// A plain service freezes.
+    /// A plain service stops responding for a while.
     FreezeService {
         /// The service.
         service: usize,
-        /// How long.
+        /// Duration of the fault.
         frozen_ms: u64,
     },
-    /// The platform is down.
+    /// The platform is unavailable.
     PlatformDown {
-        /// How long.
+        /// Duration of the fault.
         down_ms: u64,
     },
-    /// The platform is slow.
+    /// The platform answers slowly.
     PlatformSlow {
-        /// How long.
+        /// Duration of the fault.
         slow_ms: u64,
-        /// How much longer each call takes.
+        /// Delay of each call.
         delay_ms: u64,
     },
-    /// The platform takes writes and loses the replies.
+    /// The platform applies some writes and loses the replies.
     LosePlatformReplies {
-        /// How many.
+        /// Number of replies.
         replies: u32,
     },
-    /// The platform loses writes before they take effect.
+    /// The platform loses some writes before it applies them.
     LosePlatformRequests {
-        /// How many.
+        /// Number of requests.
         requests: u32,
     },
-    /// Two operators change one contract, each without seeing the other's change.
+    /// Two operators change the same contract concurrently.
     RaceOperators {
-        /// The routers through which they do.
+        /// The routers to which they send their changes.
         routers: [usize; 2],
-        /// Which deployment's contract.
+        /// The deployment whose contract is changed.
         deployment: usize,
     },
 }
 
 impl Fault {
-    /// The fault's name, for counts.
+    /// Returns the fault's name, under which it is counted in the report.
     pub fn name(self) -> &'static str {
         match self {
             Self::KillRouter { .. } => "kill_router",
--- a/crates/sapphiretrack-bench/src/soak/injector.rs
+++ b/crates/sapphiretrack-bench/src/soak/injector.rs
@@ -1,4 +1,4 @@
-//! Causes the planned faults, and takes each back when its time is over.
+//! Injects the planned faults, and ends those with a duration when it is over.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,73 +17,73 @@
 use crate::soak::faults::Fault;
 use crate::soak::operators::Change;
 use crate::soak::plan::PlannedFault;
-use crate::soak::watch::{Watched, Watchlist};
+use crate::soak::watch::{WatchList, WatchedRouter};
 
-/// How long a planned stop may take until it counts as failed.
+/// Time limit of a planned stop, after which it counts as failed.
 const STOP_LIMIT: Duration = Duration::from_secs(120);
-/// Zones of the routers.
+/// Number of availability zones of the routers.
 const ZONES: usize = 3;
 
-/// The fleet and all that is wrong with it.
+/// The fleet and its current faults.
 pub(crate) struct Injector {
     pub(crate) fleet: Fleet,
     pub(crate) known: KnownRouters,
-    pub(crate) watchlist: Watchlist,
+    pub(crate) watchlist: WatchList,
     pub(crate) stops: JoinSet<StopRecord>,
     pub(crate) changes: JoinSet<Option<ChangeRecord>>,
     pub(crate) killed: BTreeSet<String>,
-    pub(crate) caused: BTreeMap<&'static str, u64>,
-    heals: BinaryHeap<Reverse<(Instant, u64)>>,
-    pending: BTreeMap<u64, Heal>,
+    pub(crate) injected: BTreeMap<&'static str, u64>,
+    recovery_times: BinaryHeap<Reverse<(Instant, u64)>>,
+    pending_recoveries: BTreeMap<u64, Recovery>,
     paused: BTreeSet<String>,
     started_routers: usize,
     next_incarnation: u64,
     next_change: u64,
-    next_heal: u64,
+    next_recovery: u64,
     min_routers: usize,
 }
 
-/// What takes a fault back.
-pub(super) enum Heal {
-    Continue { router: String },
-    Start { router: String, zone: usize },
-    Engine { server: usize },
-    Restart { server: usize },
-    Service { server: usize },
-    Platform,
+/// The action that ends a fault.
+pub(super) enum Recovery {
+    ResumeRouter { router: String },
+    StartRouter { router: String, zone: usize },
+    ClearEngineFaults { server: usize },
+    RestartEngine { server: usize },
+    ClearServiceFaults { server: usize },
+    ClearPlatformFaults,
 }
 
 impl Injector {
-    /// The injector of a settled fleet; change numbers start at `next_change`.
+    /// Creates the injector of a running fleet. The numbers of changes start after `next_change`.
     pub(crate) fn new(
         fleet: Fleet,
         known: KnownRouters,
-        watchlist: Watchlist,
+        watchlist: WatchList,
         next_change: u64,
     ) -> Self {
         let injector = Self {
             started_routers: fleet.routers.len(),
-            // Two in three stay, so that the load has somewhere to go.
+            // At least two thirds of the routers keep running, so that callers can reach one.
             min_routers: fleet.routers.len().div_ceil(3) * 2,
             next_incarnation: fleet.servers.len() as u64 + 1,
             next_change,
-            next_heal: 0,
+            next_recovery: 0,
             fleet,
             known,
             watchlist,
             stops: JoinSet::new(),
             changes: JoinSet::new(),
             killed: BTreeSet::new(),
-            caused: BTreeMap::new(),
-            heals: BinaryHeap::new(),
-            pending: BTreeMap::new(),
+            injected: BTreeMap::new(),
+            recovery_times: BinaryHeap::new(),
+            pending_recoveries: BTreeMap::new(),
             paused: BTreeSet::new(),
         };
-        injector.announce();
+        injector.update_router_lists();
         injector
     }
 
-    /// Causes the faults in order until there is no more load, then takes all back.
+    /// Injects the faults in order until the load is over, and then ends all that remain.
     pub(crate) async fn run(
         &mut self,
         faults: &[PlannedFault],
@@ -93,30 +93,30 @@
         for planned in faults {
             let due = started + Duration::from_millis(planned.at_ms);
             loop {
-                let next_heal = self.heals.peek().map(|Reverse((at, _))| *at);
-                let wake = next_heal.map_or(due, |at| at.min(due));
+                let next_recovery = self.recovery_times.peek().map(|Reverse((at, _))| *at);
+                let wake = next_recovery.map_or(due, |at| at.min(due));
                 tokio::select! {
                     () = tokio::time::sleep_until(wake) => {}
-                    _ = load_over.wait_for(|over| *over) => return self.heal_all().await,
+                    _ = load_over.wait_for(|over| *over) => return self.recover_all().await,
                 }
                 if wake == due {
                     break;
                 }
-                self.heal_due().await;
+                self.recover_due().await;
             }
-            self.cause(planned.fault).await;
+            self.inject(planned.fault).await;
         }
-        while let Some(Reverse((at, _))) = self.heals.peek().copied() {
+        while let Some(Reverse((at, _))) = self.recovery_times.peek().copied() {
             tokio::select! {
-                () = tokio::time::sleep_until(at) => self.heal_due().await,
-                _ = load_over.wait_for(|over| *over) => return self.heal_all().await,
+                () = tokio::time::sleep_until(at) => self.recover_due().await,
+                _ = load_over.wait_for(|over| *over) => return self.recover_all().await,
             }
         }
         drop(load_over.wait_for(|over| *over).await);
     }
 
-    async fn cause(&mut self, fault: Fault) {
-        let done = match fault {
+    async fn inject(&mut self, fault: Fault) {
+        let injected = match fault {
             Fault::KillRouter { router, gone_ms } => self.kill_router(router, gone_ms).await,
             Fault::PauseRouter { router, pause_ms } => self.pause_router(router, pause_ms).await,
             Fault::StopRouter {
@@ -126,19 +126,19 @@
             Fault::RaceOperators {
                 routers,
                 deployment,
-            } => self.race(routers, deployment),
+            } => self.race_operators(routers, deployment),
             Fault::PlatformDown { .. }
             | Fault::PlatformSlow { .. }
             | Fault::LosePlatformReplies { .. }
-            | Fault::LosePlatformRequests { .. } => self.fault_platform(fault).await,
+            | Fault::LosePlatformRequests { .. } => self.inject_platform_fault(fault).await,
             Fault::LoseServiceReplies { .. }
             | Fault::CrossServiceReplies { .. }
             | Fault::RefuseCalls { .. }
-            | Fault::FreezeService { .. } => self.fault_service(fault).await,
-            _ => self.fault_engine(fault).await,
+            | Fault::FreezeService { .. } => self.inject_service_fault(fault).await,
+            _ => self.inject_engine_fault(fault).await,
         };
-        if done {
-            *self.caused.entry(fault.name()).or_default() += 1;
+        if injected {
+            *self.injected.entry(fault.name()).or_default() += 1;
         }
     }
 
@@ -148,13 +148,13 @@
         };
         let mut member = self.fleet.routers.remove(router);
         self.killed.insert(format!("http://{}", member.vm.address));
-        self.announce();
+        self.update_router_lists();
         member.process.kill().await;
-        let heal = Heal::Start {
+        let recovery = Recovery::StartRouter {
             router: member.vm.name.clone(),
             zone: zone_index(&member),
         };
-        self.heal_after(gone_ms, heal);
+        self.schedule_recovery(gone_ms, recovery);
         true
     }
 
@@ -166,7 +166,7 @@
         member.process.signal("STOP").await;
         let name = member.vm.name.clone();
         self.paused.insert(name.clone());
-        self.heal_after(pause_ms, Heal::Continue { router: name });
+        self.schedule_recovery(pause_ms, Recovery::ResumeRouter { router: name });
         true
     }
 
@@ -176,7 +176,7 @@
         };
         let operator = self.fleet.operator(router);
         let mut member = self.fleet.routers.remove(router);
-        self.announce();
+        self.update_router_lists();
         if !by_operator || operator.stop().await.is_err() {
             member.process.signal("TERM").await;
         }
@@ -195,7 +195,7 @@
         true
     }
 
-    fn race(&mut self, routers: [usize; 2], deployment: usize) -> bool {
+    fn race_operators(&mut self, routers: [usize; 2], deployment: usize) -> bool {
         let deployment = DEPLOYMENTS[deployment % DEPLOYMENTS.len()];
         for router in routers {
             let router = router % self.fleet.routers.len();
@@ -210,55 +210,56 @@
         true
     }
 
-    pub(super) fn heal_after(&mut self, after_ms: u64, heal: Heal) {
+    /// Schedules the end of a fault.
+    pub(super) fn schedule_recovery(&mut self, after_ms: u64, recovery: Recovery) {
         let at = Instant::now() + Duration::from_millis(after_ms);
-        self.next_heal += 1;
-        self.heals.push(Reverse((at, self.next_heal)));
-        self.pending.insert(self.next_heal, heal);
+        self.next_recovery += 1;
+        self.recovery_times.push(Reverse((at, self.next_recovery)));
+        self.pending_recoveries.insert(self.next_recovery, recovery);
     }
 
-    async fn heal_due(&mut self) {
-        while let Some(Reverse((at, number))) = self.heals.peek().copied() {
+    async fn recover_due(&mut self) {
+        while let Some(Reverse((at, number))) = self.recovery_times.peek().copied() {
             if at > Instant::now() {
                 return;
             }
-            self.heals.pop();
-            if let Some(heal) = self.pending.remove(&number) {
-                self.heal(heal).await;
+            self.recovery_times.pop();
+            if let Some(recovery) = self.pending_recoveries.remove(&number) {
+                self.recover(recovery).await;
             }
         }
     }
 
-    /// Takes all faults back at once.
-    async fn heal_all(&mut self) {
-        self.heals.clear();
-        for (_, heal) in std::mem::take(&mut self.pending) {
-            self.heal(heal).await;
+    /// Ends all faults immediately.
+    async fn recover_all(&mut self) {
+        self.recovery_times.clear();
+        for (_, recovery) in std::mem::take(&mut self.pending_recoveries) {
+            self.recover(recovery).await;
         }
     }
 
-    async fn heal(&mut self, heal: Heal) {
-        match heal {
-            Heal::Continue { router } => {
+    async fn recover(&mut self, recovery: Recovery) {
+        match recovery {
+            Recovery::ResumeRouter { router } => {
                 self.paused.remove(&router);
                 let member = self.fleet.routers.iter().find(|m| m.vm.name == router);
                 if let Some(member) = member {
                     member.process.signal("CONT").await;
                 }
             }
-            Heal::Start { router, zone } => self.start_router(&router, zone).await,
-            Heal::Engine { server } => {
+            Recovery::StartRouter { router, zone } => self.start_router(&router, zone).await,
+            Recovery::ClearEngineFaults { server } => {
                 let address = self.fleet.servers[server].vm.address;
                 let none = EngineFaults::default();
                 self.fleet.set_faults(address, &none).await;
             }
-            Heal::Restart { server } => self.restart_engine(server).await,
-            Heal::Service { server } => {
+            Recovery::RestartEngine { server } => self.restart_engine(server).await,
+            Recovery::ClearServiceFaults { server } => {
                 let address = self.fleet.servers[server].vm.address;
                 let none = ServiceFaults::default();
                 self.fleet.set_faults(address, &none).await;
             }
-            Heal::Platform => {
+            Recovery::ClearPlatformFaults => {
                 let address = self.fleet.platform_address;
                 let none = PlatformFaults::default();
                 self.fleet.set_faults(address, &none).await;
@@ -269,7 +270,7 @@
     async fn start_router(&mut self, name: &str, zone: usize) {
         self.fleet.add_router(name, zone).await;
         self.fleet.publish().await;
-        self.announce();
+        self.update_router_lists();
     }
 
     pub(super) async fn restart_engine(&mut self, server: usize) {
@@ -279,7 +280,7 @@
             .await;
     }
 
-    /// A router that is neither paused nor one too many to lose.
+    /// Picks the index of a router that is not paused; `None` if too few routers would remain.
     fn pick_router(&self, wanted: usize) -> Option<usize> {
         let routers = &self.fleet.routers;
         if routers.len() - self.paused.len().min(routers.len()) <= self.min_routers {
@@ -290,6 +291,7 @@
             .find(|router| !self.paused.contains(&routers[*router].vm.name))
     }
 
+    /// Picks the index of a server of a kind; `wanted` counts these servers, modulo their number.
     pub(super) fn pick_server(&self, wanted_kind: PoolKind, wanted: usize) -> usize {
         let servers = &self.fleet.servers;
         let of_kind: Vec<usize> = (0..servers.len())
@@ -300,8 +302,8 @@
         of_kind[wanted % of_kind.len()]
     }
 
-    /// Tells callers and the watch which routers there are.
-    fn announce(&self) {
+    /// Updates the lists of running routers that the callers and the version watch use.
+    fn update_router_lists(&self) {
         let routers = 0..self.fleet.routers.len();
         self.known.set(
             routers
@@ -311,7 +313,7 @@
         );
         self.watchlist.set(
             routers
-                .map(|router| Watched {
+                .map(|router| WatchedRouter {
                     process: format!(
                         "{} ({})",
                         self.fleet.routers[router].vm.name,
@@ -324,6 +326,7 @@
     }
 }
 
+/// Returns the index of a member's zone, whose name ends with it.
 fn zone_index(member: &Member) -> usize {
     let digit = member.vm.zone.bytes().last().unwrap_or(b'0');
     usize::from(digit - b'0') % ZONES
--- a/crates/sapphiretrack-bench/src/soak/mod.rs
+++ b/crates/sapphiretrack-bench/src/soak/mod.rs
@@ -1,16 +1,16 @@
-//! The soak: a fleet of processes under load and random faults, and the check of its history.
+//! The soak test: runs a fleet of processes under load and random faults and checks its history.
 
 mod command;
 mod deployment;
 mod evidence;
+mod fake_faults;
 mod faults;
 mod injector;
 mod operators;
 mod plan;
 mod report;
 mod settings;
-mod stand_in_faults;
-mod verdict;
+mod violations;
 mod watch;
 
 pub use command::run;
@@ -21,4 +21,4 @@
 pub use plan::{PlannedFault, plan};
 pub use report::SoakReport;
 pub use settings::{SoakSettings, parse_soak_settings};
-pub use verdict::judge;
+pub use violations::find_violations;
--- a/crates/sapphiretrack-bench/src/soak/plan.rs
+++ b/crates/sapphiretrack-bench/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when: a function of the seed alone.
+//! The plan of the faults and their times. It depends only on the settings and the seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -7,107 +7,107 @@
 use crate::soak::faults::Fault;
 use crate::soak::settings::SoakSettings;
 
-/// Kinds of faults.
-const KINDS: u32 = 18;
-/// Sets the faults' choices apart from the load's.
-const FAULT_STREAM: u64 = 0xfa01;
+/// Number of kinds of faults.
+const FAULT_KINDS: u32 = 18;
+/// XORed into the seed, so that the faults use other random numbers than the load.
+const FAULT_SEED_MASK: u64 = 0xfa01;
 
-/// A fault and when it comes, from the start of the load.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlannedFault {
-    /// When.
+    /// Time of the fault, in milliseconds from the start of the load.
     pub at_ms: u64,
-    /// What.
+    /// The fault.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// All faults of a soak, in the order of their times.
+/// Returns all faults of a soak in the order of their times.
 pub fn plan(settings: &SoakSettings) -> Vec<PlannedFault> {
-    let mut random = ChaCha8Rng::seed_from_u64(settings.seed ^ FAULT_STREAM);
+    let mut random = ChaCha8Rng::seed_from_u64(settings.seed ^ FAULT_SEED_MASK);
     let end_ms = settings.minutes * 60_000.0;
     let mut at_ms = 0.0;
     let mut planned = Vec::new();
     loop {
         let uniform: f64 = random.random();
         at_ms += -(1.0 - uniform).ln() * settings.fault_mean_ms;
-        let enough = settings.max_faults > 0 && planned.len() >= settings.max_faults;
-        if at_ms > end_ms || enough {
+        let is_at_limit = settings.max_faults > 0 && planned.len() >= settings.max_faults;
+        if at_ms > end_ms || is_at_limit {
             return planned;
         }
         planned.push(PlannedFault {
             at_ms: at_ms as u64,
-            fault: draw(&mut random),
+            fault: draw_fault(&mut random),
         });
     }
 }
 
-fn draw(random: &mut ChaCha8Rng) -> Fault {
-    let kind = random.random_range(0..KINDS);
+fn draw_fault(random: &mut ChaCha8Rng) -> Fault {
+    let kind = random.random_range(0..FAULT_KINDS);
     if kind < 9 {
-        draw_of_routers_and_engines(kind, random)
+        draw_router_or_engine_fault(kind, random)
     } else {
-        draw_of_services_and_platform(kind, random)
+        draw_other_fault(kind, random)
     }
 }
 
-fn draw_of_routers_and_engines(kind: u32, random: &mut ChaCha8Rng) -> Fault {
-    let which = index(random);
+fn draw_router_or_engine_fault(kind: u32, random: &mut ChaCha8Rng) -> Fault {
+    let target = draw_index(random);
     match kind {
         0 => Fault::KillRouter {
-            router: which,
+            router: target,
             gone_ms: random.random_range(0..4_000),
         },
         1 => Fault::PauseRouter {
-            router: which,
+            router: target,
             pause_ms: random.random_range(500..6_000),
         },
         2 => Fault::StopRouter {
-            router: which,
+            router: target,
             by_operator: random.random(),
         },
         3 => Fault::CutStreams {
-            engine: which,
+            engine: target,
             streams: random.random_range(1..8),
             after_tokens: random.random_range(0..20),
         },
         4 => Fault::CrossReplies {
-            engine: which,
+            engine: target,
             replies: random.random_range(1..6),
         },
         5 => Fault::RefuseRequests {
-            engine: which,
+            engine: target,
             requests: random.random_range(1..10),
         },
         6 => Fault::FreezeEngine {
-            engine: which,
+            engine: target,
             frozen_ms: random.random_range(200..5_000),
         },
         7 => Fault::LeaveEngine {
-            engine: which,
+            engine: target,
             leaving_ms: random.random_range(1_000..6_000),
         },
-        _ => Fault::RestartEngine { engine: which },
+        _ => Fault::RestartEngine { engine: target },
     }
 }
 
-fn draw_of_services_and_platform(kind: u32, random: &mut ChaCha8Rng) -> Fault {
-    let which = index(random);
+fn draw_other_fault(kind: u32, random: &mut ChaCha8Rng) -> Fault {
+    let target = draw_index(random);
     match kind {
         9 => Fault::LoseServiceReplies {
-            service: which,
+            service: target,
             replies: random.random_range(1..6),
         },
         10 => Fault::CrossServiceReplies {
-            service: which,
+            service: target,
             replies: random.random_range(1..6),
         },
         11 => Fault::RefuseCalls {
-            service: which,
+            service: target,
             calls: random.random_range(1..6),
         },
         12 => Fault::FreezeService {
-            service: which,
+            service: target,
             frozen_ms: random.random_range(200..4_000),
         },
         13 => Fault::PlatformDown {
@@ -124,12 +124,12 @@
             requests: random.random_range(1..5),
         },
         _ => Fault::RaceOperators {
-            routers: [which, index(random)],
-            deployment: index(random),
+            routers: [target, draw_index(random)],
+            deployment: draw_index(random),
         },
     }
 }
 
-fn index(random: &mut ChaCha8Rng) -> usize {
+fn draw_index(random: &mut ChaCha8Rng) -> usize {
     random.random_range(0..1_000)
 }
--- a/crates/sapphiretrack-bench/src/soak/report.rs
+++ b/crates/sapphiretrack-bench/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! The report of a soak: a table, and a JSON line.
+//! The report of a soak, as a table or a JSON line.
 
 use std::collections::BTreeMap;
 
@@ -8,60 +8,60 @@
 use crate::soak::evidence::{ChangeState, Evidence};
 use crate::soak::settings::SoakSettings;
 
-/// The violations of one kind that are told one by one.
-const TOLD_OF_A_KIND: usize = 5;
+/// Maximum number of violations of each kind that the table lists.
+const MAX_LISTED_PER_KIND: usize = 5;
 
 /// The report of a soak.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SoakReport {
     /// Always `soak`.
     pub kind: String,
-    /// The seed.
+    /// Seed of the load and the faults.
     pub seed: u64,
-    /// How long load and faults came.
+    /// Configured duration of the load and the faults.
     pub minutes: f64,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Faults that were caused, by name.
+    /// Number of injected faults, by name.
     pub faults: BTreeMap<String, u64>,
-    /// The load of each customer.
+    /// The report of each customer's load.
     pub loads: BTreeMap<String, LoadReport>,
-    /// Requests, all customers together.
+    /// Number of requests of all customers.
     pub requests: usize,
-    /// Runs of orders at the plain services.
+    /// Number of runs at the plain services.
     pub runs: u64,
-    /// Planned stops, and those with exit code 0.
+    /// Counts of planned stops, and of those with exit code 0.
     pub stops: StopCount,
-    /// Operators' changes by what came of them.
+    /// Counts of operators' changes by outcome.
     pub changes: ChangeCount,
-    /// Configuration versions that were read.
+    /// Number of configuration versions read from routers.
     pub versions_seen: usize,
-    /// Broken promises, by kind.
+    /// Descriptions of the violated guarantees, by kind.
     pub violations: BTreeMap<ViolationKind, Vec<String>>,
 }
 
-/// Planned stops.
+/// Counts of planned stops of routers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct StopCount {
-    /// All.
+    /// All planned stops.
     pub all: usize,
     /// Those that ended with exit code 0.
     pub clean: usize,
 }
 
-/// Operators' changes by what came of them.
+/// Counts of operators' changes by outcome.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ChangeCount {
-    /// Accepted.
+    /// Accepted changes.
     pub accepted: usize,
-    /// Refused.
+    /// Refused changes.
     pub refused: usize,
-    /// Not settled.
+    /// Changes with an unknown outcome.
     pub unsettled: usize,
 }
 
 impl SoakReport {
-    /// The report of the evidence and its violations.
+    /// Creates the report of the evidence and its violations, without faults and loads.
     pub fn new(settings: &SoakSettings, evidence: &Evidence, found: &[Violation]) -> Self {
         let changes = |wanted: fn(&ChangeState) -> bool| {
             let states = evidence.changes.iter().map(|change| &change.state);
@@ -92,19 +92,19 @@
             changes: ChangeCount {
                 accepted: changes(|state| matches!(state, ChangeState::Accepted(_))),
                 refused: changes(|state| *state == ChangeState::Refused),
-                unsettled: changes(|state| *state == ChangeState::Unsettled),
+                unsettled: changes(|state| *state == ChangeState::Unresolved),
             },
             versions_seen: evidence.versions.len(),
             violations,
         }
     }
 
-    /// Whether every promise held.
-    pub fn held(&self) -> bool {
+    /// Whether no guarantee was violated.
+    pub fn passed(&self) -> bool {
         self.violations.is_empty()
     }
 
-    /// What failed, in one line.
+    /// Describes the violations in one line, for the list of failing seeds.
     pub fn failure_line(&self) -> String {
         let kinds: Vec<String> = self
             .violations
@@ -123,7 +123,7 @@
         )
     }
 
-    /// The report as a table.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "soak: seed {}, {} minutes, {} routers\n",
@@ -150,11 +150,11 @@
         ));
         for (kind, details) in &self.violations {
             text.push_str(&format!("VIOLATED {kind:?}: {}\n", details.len()));
-            for detail in details.iter().take(TOLD_OF_A_KIND) {
+            for detail in details.iter().take(MAX_LISTED_PER_KIND) {
                 text.push_str(&format!("  {detail}\n"));
             }
         }
-        let verdict = if self.held() { "all held" } else { "broken" };
+        let verdict = if self.passed() { "all held" } else { "broken" };
         text.push_str(&format!("verdict: {verdict}\n"));
         text
     }
--- a/crates/sapphiretrack-bench/src/soak/settings.rs
+++ b/crates/sapphiretrack-bench/src/soak/settings.rs
@@ -1,4 +1,4 @@
-//! How long and how hard the soak is.
+//! The settings of a soak and their command-line flags.
 
 use std::path::PathBuf;
 
@@ -7,25 +7,25 @@
 /// The settings of a soak.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakSettings {
-    /// How long load and faults come.
+    /// Duration of the load and the faults.
     pub minutes: f64,
-    /// What the load and the faults come from.
+    /// Seed of the load and the faults.
     pub seed: u64,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Arrivals a second of each deployment.
+    /// Mean number of arrivals per second of each deployment.
     pub requests_per_s: f64,
-    /// The most arrivals of each deployment; 0 for no bound.
+    /// Maximum number of arrivals of each deployment; 0 for no limit.
     pub max_requests: u64,
-    /// The most faults; 0 for no bound.
+    /// Maximum number of faults; 0 for no limit.
     pub max_faults: usize,
-    /// The time between two faults, on average.
+    /// Mean time between two faults.
     pub fault_mean_ms: f64,
-    /// Where the report goes as a JSON line.
+    /// File to which the report is appended as a JSON line.
     pub json: Option<PathBuf>,
-    /// Where failing seeds are kept.
+    /// File to which failing seeds are appended.
     pub seeds: Option<PathBuf>,
-    /// Whether progress is written while the soak runs.
+    /// Whether progress is printed while the soak runs.
     pub progress: bool,
 }
 
@@ -46,20 +46,20 @@
     }
 }
 
-/// Reads the settings of a soak from the command line.
+/// Parses the settings of a soak from the command line.
 pub fn parse_soak_settings(mut arguments: Arguments) -> Result<SoakSettings, String> {
     let defaults = SoakSettings::default();
     let read = &mut arguments;
     let settings = SoakSettings {
-        minutes: value(read, "--minutes")?.unwrap_or(defaults.minutes),
-        seed: value(read, "--seed")?.unwrap_or(defaults.seed),
-        routers: value(read, "--routers")?.unwrap_or(defaults.routers),
-        requests_per_s: value(read, "--rate")?.unwrap_or(defaults.requests_per_s),
-        max_requests: value(read, "--requests")?.unwrap_or(defaults.max_requests),
-        max_faults: value(read, "--faults")?.unwrap_or(defaults.max_faults),
-        fault_mean_ms: value(read, "--fault-mean-ms")?.unwrap_or(defaults.fault_mean_ms),
-        json: value(read, "--json")?,
-        seeds: value(read, "--seeds")?,
+        minutes: flag_value(read, "--minutes")?.unwrap_or(defaults.minutes),
+        seed: flag_value(read, "--seed")?.unwrap_or(defaults.seed),
+        routers: flag_value(read, "--routers")?.unwrap_or(defaults.routers),
+        requests_per_s: flag_value(read, "--rate")?.unwrap_or(defaults.requests_per_s),
+        max_requests: flag_value(read, "--requests")?.unwrap_or(defaults.max_requests),
+        max_faults: flag_value(read, "--faults")?.unwrap_or(defaults.max_faults),
+        fault_mean_ms: flag_value(read, "--fault-mean-ms")?.unwrap_or(defaults.fault_mean_ms),
+        json: flag_value(read, "--json")?,
+        seeds: flag_value(read, "--seeds")?,
         progress: !read.contains("--quiet"),
     };
     if let Some(argument) = arguments.finish().first() {
@@ -67,17 +67,17 @@
     }
     let positive = |value: f64| value.is_finite() && value > 0.0;
     let checks = [
-        ("--minutes", positive(settings.minutes), "is not above 0"),
-        ("--routers", settings.routers >= 3, "is below 3"),
+        ("--minutes", positive(settings.minutes), "must be above 0"),
+        ("--routers", settings.routers >= 3, "must be at least 3"),
         (
             "--rate",
             positive(settings.requests_per_s),
-            "is not above 0",
+            "must be above 0",
         ),
         (
             "--fault-mean-ms",
             positive(settings.fault_mean_ms),
-            "is not above 0",
+            "must be above 0",
         ),
     ];
     match checks.iter().find(|(_, holds, _)| !holds) {
@@ -86,7 +86,7 @@
     }
 }
 
-fn value<Value>(arguments: &mut Arguments, flag: &'static str) -> Result<Option<Value>, String>
+fn flag_value<Value>(arguments: &mut Arguments, flag: &'static str) -> Result<Option<Value>, String>
 where
     Value: std::str::FromStr,
     Value::Err: std::fmt::Display,
--- a/crates/sapphiretrack-bench/src/soak/violations.rs
+++ b/crates/sapphiretrack-bench/src/soak/violations.rs
@@ -1,24 +1,26 @@
-//! The check of a soak's whole history, as pure code.
+//! Checks the history of a soak for violated guarantees, without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::load::{AttemptOutcome, RequestRecord, Violation, ViolationKind};
 use crate::soak::evidence::{ChangeState, Evidence};
 
-/// The promises that the history breaks.
-pub fn judge(evidence: &Evidence) -> Vec<Violation> {
+/// Returns the violations found during the soak and those in its history.
+pub fn find_violations(evidence: &Evidence) -> Vec<Violation> {
     let mut found = evidence.violations.clone();
-    found.extend(judge_runs(evidence));
-    found.extend(judge_ends(&evidence.requests));
-    found.extend(judge_stops(evidence));
-    found.extend(judge_versions(evidence));
-    found.extend(judge_races(evidence));
-    found.extend(judge_changes(evidence));
+    found.extend(check_runs(evidence));
+    found.extend(check_ends(&evidence.requests));
+    found.extend(check_stops(evidence));
+    found.extend(check_versions(evidence));
+    found.extend(check_races(evidence));
+    found.extend(check_changes(evidence));
     found
 }
 
-/// An order runs at most once, and what was told as not run did not run.
-fn judge_runs(evidence: &Evidence) -> Vec<Violation> {
+/// Checks that a non-idempotent order ran at most once, that it ran if it was answered as
+/// complete, and that no request ran whose attempts were all reported as not run or could not
+/// connect.
+fn check_runs(evidence: &Evidence) -> Vec<Violation> {
     let mut found = Vec::new();
     for request in &evidence.requests {
         let runs = if request.service {
@@ -44,12 +46,13 @@
     found
 }
 
-/// Every attempt has an end.
-fn judge_ends(requests: &[RequestRecord]) -> Vec<Violation> {
+/// Checks that every attempt ended.
+fn check_ends(requests: &[RequestRecord]) -> Vec<Violation> {
     let mut found = Vec::new();
     for request in requests {
-        let endless = |attempt: &&crate::load::Attempt| attempt.outcome == AttemptOutcome::NoEnd;
-        if let Some(attempt) = request.attempts.iter().find(endless) {
+        let without_end =
+            |attempt: &&crate::load::Attempt| attempt.outcome == AttemptOutcome::NoEnd;
+        if let Some(attempt) = request.attempts.iter().find(without_end) {
             let detail = format!("{} through {}", request.identity, attempt.router);
             found.push(Violation::new(ViolationKind::NoEnd, detail));
         }
@@ -57,8 +60,9 @@
     found
 }
 
-/// A planned stop ends with exit code 0 and cuts no request.
-fn judge_stops(evidence: &Evidence) -> Vec<Violation> {
+/// Checks that every planned stop ended with exit code 0 and cut no request. Routers that were also
+/// killed may have cut requests.
+fn check_stops(evidence: &Evidence) -> Vec<Violation> {
     let mut found = Vec::new();
     for stop in &evidence.stops {
         if stop.exit_code != Some(0) {
@@ -83,8 +87,8 @@
     found
 }
 
-/// No router goes back to an earlier configuration.
-fn judge_versions(evidence: &Evidence) -> Vec<Violation> {
+/// Checks that no router process returned to an earlier configuration version.
+fn check_versions(evidence: &Evidence) -> Vec<Violation> {
     let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
     let mut found = Vec::new();
     for seen in &evidence.versions {
@@ -98,8 +102,8 @@
     found
 }
 
-/// Of the changes of one contract that saw the same version, at most one is accepted.
-fn judge_races(evidence: &Evidence) -> Vec<Violation> {
+/// Checks that of the changes based on the same version of a contract, at most one was accepted.
+fn check_races(evidence: &Evidence) -> Vec<Violation> {
     let mut accepted: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     let mut found = Vec::new();
     for change in &evidence.changes {
@@ -115,10 +119,11 @@
     found
 }
 
-/// Accepted changes are in every router's history and in force; refused ones are not.
-fn judge_changes(evidence: &Evidence) -> Vec<Violation> {
+/// Checks that every router lists the accepted changes in its history and has the newest ones in
+/// force, that no router lists a refused change, and that the outcome of each change is known.
+fn check_changes(evidence: &Evidence) -> Vec<Violation> {
     let mut found = Vec::new();
-    let mut lost = |detail: String| found.push(Violation::new(ViolationKind::ChangeLost, detail));
+    let mut report = |detail: String| found.push(Violation::new(ViolationKind::ChangeLost, detail));
     let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
     for change in &evidence.changes {
         let id = &change.change_id;
@@ -126,15 +131,15 @@
             let known = newest.entry(change.customer.as_str()).or_default();
             *known = (*known).max(version);
         }
-        for (router, told) in &evidence.told {
+        for (router, history) in &evidence.histories {
             match change.state {
-                ChangeState::Accepted(version) if told.get(&version) != Some(id) => {
-                    lost(format!("{router} does not tell {id} at version {version}"));
+                ChangeState::Accepted(version) if history.get(&version) != Some(id) => {
+                    report(format!("{router} does not list {id} at version {version}"));
                 }
-                ChangeState::Refused if told.values().any(|known| known == id) => {
-                    lost(format!("{router} tells {id}, which was refused"));
+                ChangeState::Refused if history.values().any(|known| known == id) => {
+                    report(format!("{router} lists {id}, which was refused"));
                 }
-                ChangeState::Unsettled => lost(format!("{id} could not be settled")),
+                ChangeState::Unresolved => report(format!("the outcome of {id} is unknown")),
                 _ => {}
             }
         }
@@ -142,7 +147,7 @@
     for ((router, customer), version) in &evidence.contract_versions {
         let expected = newest.get(customer.as_str()).copied().unwrap_or_default();
         if *version != expected {
-            lost(format!(
+            report(format!(
                 "{router} has {customer}'s contract of version {version}, not {expected}"
             ));
         }
--- a/crates/sapphiretrack-bench/src/soak/watch.rs
+++ b/crates/sapphiretrack-bench/src/soak/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the configuration version of every router while the soak runs.
+//! Polls the configuration version of every router while the soak runs.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -8,28 +8,28 @@
 
 use crate::soak::evidence::VersionSeen;
 
-/// How often each router is asked.
-const PERIOD: Duration = Duration::from_millis(250);
+/// Delay between two rounds of status requests.
+const POLL_DELAY: Duration = Duration::from_millis(250);
 
-/// A router process with its operators' interface.
+/// A router process and a client of its operators' interface.
 #[derive(Clone, Debug)]
-pub(crate) struct Watched {
+pub(crate) struct WatchedRouter {
     pub(crate) process: String,
     pub(crate) operator: OperatorClient,
 }
 
-/// The routers that are there; clones are the same list.
+/// The routers to poll. Clones share one list.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Watchlist {
-    routers: Arc<Mutex<Vec<Watched>>>,
+pub(crate) struct WatchList {
+    routers: Arc<Mutex<Vec<WatchedRouter>>>,
 }
 
-impl Watchlist {
-    pub(crate) fn set(&self, routers: Vec<Watched>) {
+impl WatchList {
+    pub(crate) fn set(&self, routers: Vec<WatchedRouter>) {
         *self.routers.lock().unwrap_or_else(PoisonError::into_inner) = routers;
     }
 
-    fn routers(&self) -> Vec<Watched> {
+    fn routers(&self) -> Vec<WatchedRouter> {
         self.routers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -37,17 +37,17 @@
     }
 }
 
-/// Asks all routers again and again; what they say goes to `seen`.
+/// Polls all routers until it is aborted and appends their versions to `seen`.
 ///
-/// A round ends before the next one starts, so that what a process says keeps its order.
-pub(crate) async fn watch_versions(list: Watchlist, seen: Arc<Mutex<Vec<VersionSeen>>>) {
+/// Each round ends before the next one starts, so that the versions of a process stay in order.
+pub(crate) async fn watch_versions(list: WatchList, seen: Arc<Mutex<Vec<VersionSeen>>>) {
     loop {
         let mut round = JoinSet::new();
-        for watched in list.routers() {
+        for router in list.routers() {
             round.spawn(async move {
-                let status = watched.operator.status().await.ok()?;
+                let status = router.operator.status().await.ok()?;
                 Some(VersionSeen {
-                    process: watched.process,
+                    process: router.process,
                     version: status.config_version,
                 })
             });
@@ -59,6 +59,6 @@
                     .push(version);
             }
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(POLL_DELAY).await;
     }
 }
--- a/crates/sapphiretrack-bench/tests/soak.rs
+++ b/crates/sapphiretrack-bench/tests/soak.rs
@@ -1,9 +1,9 @@
-//! The soak's plan and the check of its history.
+//! Tests of the soak's fault plan, the check of its history, and its report.
 
 use sapphiretrack_bench::load::{Attempt, AttemptOutcome, RequestRecord, Violation, ViolationKind};
 use sapphiretrack_bench::soak::{
-    ChangeRecord, ChangeState, Evidence, SoakReport, SoakSettings, StopRecord, VersionSeen, judge,
-    plan,
+    ChangeRecord, ChangeState, Evidence, SoakReport, SoakSettings, StopRecord, VersionSeen,
+    find_violations, plan,
 };
 
 const ORDER: &str = "POST /labels/print 17";
@@ -42,8 +42,8 @@
     }
 }
 
-/// A history that breaks nothing.
-fn good() -> Evidence {
+/// Returns evidence without violations.
+fn valid_evidence() -> Evidence {
     let mut evidence = Evidence {
         requests: vec![
             request(ORDER, &[not_run(), AttemptOutcome::Complete]),
@@ -65,30 +65,33 @@
     };
     evidence.runs.insert(ORDER.to_owned(), 1);
     evidence.started_chats.insert(String::from("00aa"));
-    let told = [(1, String::from("a")), (2, String::from("b"))];
-    evidence.told.insert(String::from("router-1"), told.into());
+    let history = [(1, String::from("a")), (2, String::from("b"))];
+    evidence
+        .histories
+        .insert(String::from("router-1"), history.into());
     let in_force = (String::from("router-1"), String::from("teranga"));
     evidence.contract_versions.insert(in_force, 2);
     evidence
 }
 
-fn kinds<Break>(break_it: Break) -> Vec<ViolationKind>
+/// Returns the kinds of the violations in the valid evidence after a modification.
+fn kinds<Modify>(modify: Modify) -> Vec<ViolationKind>
 where
-    Break: FnOnce(&mut Evidence),
+    Modify: FnOnce(&mut Evidence),
 {
-    let mut evidence = good();
-    break_it(&mut evidence);
-    let found = judge(&evidence);
+    let mut evidence = valid_evidence();
+    modify(&mut evidence);
+    let found = find_violations(&evidence);
     found.into_iter().map(|violation| violation.kind).collect()
 }
 
 #[test]
-fn a_history_that_breaks_nothing_passes() {
+fn a_correct_history_has_no_violations() {
     assert_eq!(kinds(|_| ()), []);
 }
 
 #[test]
-fn runs_that_break_a_promise_are_told() {
+fn run_counts_that_violate_a_guarantee_are_detected() {
     let twice = kinds(|evidence| {
         evidence.runs.insert(ORDER.to_owned(), 2);
     });
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn an_attempt_that_may_have_run_is_no_promise_that_it_did_not() {
+fn a_run_after_an_unknown_outcome_is_no_violation() {
     let unknown = AttemptOutcome::Unknown(String::from("server_failed"));
     for outcome in [unknown, AttemptOutcome::Cut] {
         let found = kinds(|evidence| {
@@ -122,16 +125,16 @@
 }
 
 #[test]
-fn an_attempt_without_an_end_is_told() {
-    let endless = kinds(|evidence| {
+fn an_attempt_without_an_end_is_a_violation() {
+    let without_end = kinds(|evidence| {
         let request = request("00cc", &[AttemptOutcome::NoEnd]);
         evidence.requests.push(request);
     });
-    assert_eq!(endless, [ViolationKind::NoEnd]);
+    assert_eq!(without_end, [ViolationKind::NoEnd]);
 }
 
 #[test]
-fn a_planned_stop_that_cuts_is_told_and_a_kill_is_not() {
+fn a_request_cut_by_a_planned_stop_is_a_violation_unless_the_router_was_killed() {
     for exit_code in [None, Some(3)] {
         let unclean = kinds(|evidence| evidence.stops[0].exit_code = exit_code);
         assert_eq!(unclean, [ViolationKind::CutByPlannedStop]);
@@ -150,12 +153,12 @@
 }
 
 #[test]
-fn a_configuration_that_goes_back_is_told() {
+fn an_earlier_configuration_version_of_the_same_process_is_a_violation() {
     let back = kinds(|evidence| evidence.versions.push(seen(1)));
     assert_eq!(back, [ViolationKind::ConfigurationWentBack]);
     let another_process = kinds(|evidence| {
         evidence.versions.push(VersionSeen {
-            process: String::from("router-1, started again"),
+            process: String::from("router-1, restarted"),
             version: 0,
         });
     });
@@ -163,19 +166,25 @@
 }
 
 #[test]
-fn changes_that_are_lost_or_hold_though_refused_are_told() {
+fn lost_changes_and_applied_refused_changes_are_violations() {
     let lost = kinds(|evidence| {
-        let told = evidence.told.get_mut("router-1").expect("a router");
-        told.remove(&1);
+        let history = evidence
+            .histories
+            .get_mut("router-1")
+            .expect("the history of router-1");
+        history.remove(&1);
     });
     assert_eq!(lost, [ViolationKind::ChangeLost]);
     let holds = kinds(|evidence| {
-        let told = evidence.told.get_mut("router-1").expect("a router");
-        told.insert(3, String::from("c"));
+        let history = evidence
+            .histories
+            .get_mut("router-1")
+            .expect("the history of router-1");
+        history.insert(3, String::from("c"));
     });
     assert_eq!(holds, [ViolationKind::ChangeLost]);
-    let unsettled = kinds(|evidence| evidence.changes[2].state = ChangeState::Unsettled);
-    assert_eq!(unsettled, [ViolationKind::ChangeLost]);
+    let unresolved = kinds(|evidence| evidence.changes[2].state = ChangeState::Unresolved);
+    assert_eq!(unresolved, [ViolationKind::ChangeLost]);
     let old = kinds(|evidence| {
         for version in evidence.contract_versions.values_mut() {
             *version = 1;
@@ -183,8 +192,11 @@
     });
     assert_eq!(old, [ViolationKind::ChangeLost]);
     let both = kinds(|evidence| {
-        let told = evidence.told.get_mut("router-1").expect("a router");
-        told.insert(3, String::from("c"));
+        let history = evidence
+            .histories
+            .get_mut("router-1")
+            .expect("the history of router-1");
+        history.insert(3, String::from("c"));
         evidence.changes[2].state = ChangeState::Accepted(3);
         evidence
             .contract_versions
@@ -195,7 +207,7 @@
 }
 
 #[test]
-fn the_plan_is_a_function_of_the_seed_and_has_every_fault() {
+fn the_plan_is_deterministic_and_contains_every_fault() {
     let settings = SoakSettings {
         fault_mean_ms: 500.0,
         ..SoakSettings::default()
@@ -214,13 +226,13 @@
 }
 
 #[test]
-fn a_report_with_a_violation_says_so_in_one_line() {
+fn the_failure_line_names_each_kind_of_violation() {
     let settings = SoakSettings::default();
-    let clean = SoakReport::new(&settings, &good(), &[]);
-    assert!(clean.held());
+    let clean = SoakReport::new(&settings, &valid_evidence(), &[]);
+    assert!(clean.passed());
     let found = [Violation::new(ViolationKind::RanTwice, "order 17")];
-    let broken = SoakReport::new(&settings, &good(), &found);
-    assert!(!broken.held());
+    let broken = SoakReport::new(&settings, &valid_evidence(), &found);
+    assert!(!broken.passed());
     let line = broken.failure_line();
     assert_eq!(
         line,
