--- a/crates/sapphiretrack-bench/src/soak/command.rs
+++ b/crates/sapphiretrack-bench/src/soak/command.rs
@@ -37,7 +37,7 @@
   --json FILE        appends the report to a file as a JSON line
   --seeds FILE       appends a line to a file if a guarantee was violated
   --show-plan        prints the seed's faults as JSON lines and injects none
-  --quiet            prints no progress
+  --quiet            accepted without effect: the soak prints no progress
 
 The programs `sapphiretrackd` and `sapphiretrack-fakes` must be in the directory of this one. The
 exit code is 0 only if no guarantee was violated, and 1 if one was.
--- a/crates/sapphiretrack-bench/src/soak/settings.rs
+++ b/crates/sapphiretrack-bench/src/soak/settings.rs
@@ -25,7 +25,7 @@
     pub json: Option<PathBuf>,
     /// File to which failing seeds are appended.
     pub seeds: Option<PathBuf>,
-    /// Whether progress is printed while the soak runs.
+    /// False with `--quiet`. Without effect: the soak prints no progress.
     pub progress: bool,
 }
 
