--- a/crates/sapphiretrack-bench/src/cell/command.rs
+++ b/crates/sapphiretrack-bench/src/cell/command.rs
@@ -1,4 +1,5 @@
-//! The command `cell`: costs by the number of routers, or detection times; JSON lines.
+//! The subcommand `cell`: resource usage of routers, detection times and gaps without grants, as
+//! JSON lines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,15 +13,16 @@
 use serde_json::json;
 
 use crate::cell::detection::{
-    RouterFate, engine_leaving, engine_silent, router_fate, router_flapping, steward_gap,
+    RouterExit, measure_flapping_router, measure_grant_gap, measure_leaving_engine,
+    measure_router_exit, measure_silent_engine,
 };
 use crate::cell::routers::{CALLER_KEY, Cell};
-use crate::cell::usage::{SocketBytes, SocketKey, sockets, usage_of};
+use crate::cell::usage::{SocketBytes, SocketKey, process_usage, socket_bytes};
 
-/// Engines of the cost runs, as many as the larger customer has.
+/// Engines of the cell in `costs` and `detection`, as many as the larger customer has.
 const ENGINES: usize = 12;
 
-/// Runs `cell costs` or `cell detection`.
+/// Runs `cell costs`, `cell detection` or `cell gap`; an error says what failed.
 pub fn run(mut arguments: Arguments) -> Result<(), String> {
     let what = arguments.subcommand().map_err(|error| error.to_string())?;
     let mut number = |flag: &'static str, default: u64| {
@@ -39,7 +41,7 @@
         Some("detection") => runtime.block_on(detection(routers, trials)),
         Some("gap") => runtime.block_on(gap(routers, trials)),
         _ => Err(String::from(
-            "cell: one of costs, detection and gap is needed",
+            "cell: expected one of costs, detection or gap",
         )),
     }
 }
@@ -47,11 +49,11 @@
 async fn costs(routers: usize, seconds: u64, chats_per_s: u64) -> Result<(), String> {
     let cell = Cell::start(routers, ENGINES).await?;
     let stop = Arc::new(AtomicBool::new(false));
-    let load = tokio::spawn(load(urls(&cell), chats_per_s, stop.clone()));
+    let load = tokio::spawn(send_chats(caller_urls(&cell), chats_per_s, stop.clone()));
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let before = sample(&cell)?;
+    let before = take_sample(&cell)?;
     tokio::time::sleep(Duration::from_secs(seconds)).await;
-    let after = sample(&cell)?;
+    let after = take_sample(&cell)?;
     stop.store(true, Ordering::Relaxed);
     let chats = load.await.map_err(|error| error.to_string())?;
     let per_router = |total: f64| total / (routers as f64 * seconds as f64);
@@ -64,7 +66,7 @@
         "cpu_percent_of_a_core": 100.0 * per_router(after.cpu_s - before.cpu_s),
         "resident_mb": after.resident_bytes as f64 / routers as f64 / f64::from(1 << 20),
     });
-    for (kind, bytes) in traffic(&cell, &before.sockets, &after.sockets) {
+    for (kind, bytes) in traffic_by_kind(&cell, &before.sockets, &after.sockets) {
         line[format!("{kind}_sent_bytes_per_s")] = json!(per_router(bytes.sent as f64));
         line[format!("{kind}_received_bytes_per_s")] = json!(per_router(bytes.received as f64));
     }
@@ -72,31 +74,32 @@
     Ok(())
 }
 
-/// What all routers of a cell have used.
+/// The accumulated usage of all routers of a cell, and the byte counts of all sockets.
 struct Sample {
     cpu_s: f64,
     resident_bytes: u64,
     sockets: BTreeMap<SocketKey, SocketBytes>,
 }
 
-fn sample(cell: &Cell) -> Result<Sample, String> {
+fn take_sample(cell: &Cell) -> Result<Sample, String> {
     let mut sample = Sample {
         cpu_s: 0.0,
         resident_bytes: 0,
-        sockets: sockets()?,
+        sockets: socket_bytes()?,
     };
     for router in &cell.routers {
-        let usage = usage_of(router.id())?;
+        let usage = process_usage(router.id())?;
         sample.cpu_s += usage.cpu_s;
         sample.resident_bytes += usage.resident_bytes;
     }
     Ok(sample)
 }
 
-/// Bytes between two samples by kind: peers, platform, probes of engines.
+/// The payload bytes of the routers between two samples, by kind of connection: `peer`, `platform`
+/// or `engine`.
 ///
-/// With load the connections to engines carry the chats too.
-fn traffic(
+/// Without load, the connections to engines carry probes only; under load they carry chats too.
+fn traffic_by_kind(
     cell: &Cell,
     before: &BTreeMap<SocketKey, SocketBytes>,
     after: &BTreeMap<SocketKey, SocketBytes>,
@@ -130,28 +133,30 @@
     kinds
 }
 
-/// Sends chats at a steady rate, spread over the routers; returns how many were answered whole.
-async fn load(urls: Vec<String>, chats_per_s: u64, stop: Arc<AtomicBool>) -> u64 {
+/// Sends chats at a constant rate to the routers in turn until `stop` is set.
+///
+/// Returns the number of chats that are complete by then, without waiting for running ones.
+async fn send_chats(urls: Vec<String>, chats_per_s: u64, stop: Arc<AtomicBool>) -> u64 {
     let answered = Arc::new(std::sync::atomic::AtomicU64::new(0));
     if chats_per_s == 0 {
         return 0;
     }
     let client = CallerClient::new();
-    let mut pace = tokio::time::interval(Duration::from_micros(1_000_000 / chats_per_s));
-    let mut round = 0_usize;
+    let mut interval = tokio::time::interval(Duration::from_micros(1_000_000 / chats_per_s));
+    let mut sequence = 0_usize;
     while !stop.load(Ordering::Relaxed) {
-        pace.tick().await;
-        round += 1;
+        interval.tick().await;
+        sequence += 1;
         let (client, url, answered) = (
             client.clone(),
-            urls[round % urls.len()].clone(),
+            urls[sequence % urls.len()].clone(),
             answered.clone(),
         );
         tokio::spawn(async move {
             let options = RequestOptions {
                 key: CALLER_KEY.to_owned(),
-                workspace: Some(format!("workspace-{}", round % 10)),
-                chat: Some(format!("chat-{}", round % 500)),
+                workspace: Some(format!("workspace-{}", sequence % 10)),
+                chat: Some(format!("chat-{}", sequence % 500)),
                 ..RequestOptions::default()
             };
             let body = Bytes::from_static(
@@ -167,7 +172,7 @@
     answered.load(Ordering::Relaxed)
 }
 
-fn urls(cell: &Cell) -> Vec<String> {
+fn caller_urls(cell: &Cell) -> Vec<String> {
     let routers = cell.routers.iter();
     routers
         .map(|router| format!("http://{}", router.vm.address))
@@ -176,28 +181,28 @@
 
 async fn detection(routers: usize, trials: usize) -> Result<(), String> {
     let mut cell = Cell::start(routers, ENGINES).await?;
-    for fate in [RouterFate::Killed, RouterFate::Frozen, RouterFate::Leaving] {
+    for exit in [RouterExit::Killed, RouterExit::Frozen, RouterExit::Leaving] {
         let mut times = Vec::new();
         for _ in 0..trials {
-            times.extend(router_fate(&mut cell, fate).await?);
+            times.extend(measure_router_exit(&mut cell, exit).await?);
         }
-        print_times(&format!("router {fate:?}"), routers, times);
+        print_quantiles(&format!("router {exit:?}"), routers, times);
     }
     let mut flapping = Vec::new();
     for _ in 0..trials {
-        flapping.extend(router_flapping(&mut cell).await?);
+        flapping.extend(measure_flapping_router(&mut cell).await?);
     }
-    print_times("router flapping, each death", routers, flapping);
+    print_quantiles("router flapping, each death", routers, flapping);
     let mut silent = Vec::new();
     for trial in 0..trials.min(ENGINES / 2) {
-        silent.extend(engine_silent(&cell, trial).await?);
+        silent.extend(measure_silent_engine(&cell, trial).await?);
     }
-    print_times("engine silent", routers, silent);
+    print_quantiles("engine silent", routers, silent);
     let mut leaving = Vec::new();
     for trial in 0..trials.min(ENGINES / 2) {
-        leaving.extend(engine_leaving(&cell, ENGINES / 2 + trial).await?);
+        leaving.extend(measure_leaving_engine(&cell, ENGINES / 2 + trial).await?);
     }
-    print_times("engine leaving by its report", routers, leaving);
+    print_quantiles("engine leaving by its report", routers, leaving);
     Ok(())
 }
 
@@ -207,7 +212,7 @@
         let mut times = Vec::new();
         let mut refused: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..trials {
-            let gap = steward_gap(&mut cell, planned).await?;
+            let gap = measure_grant_gap(&mut cell, planned).await?;
             times.push(gap.without_grants_ms);
             for (code, count) in gap.refused {
                 *refused.entry(code).or_default() += count;
@@ -218,14 +223,14 @@
         } else {
             "without grants, steward killed"
         };
-        print_times(what, routers, times);
+        print_quantiles(what, routers, times);
         let line = json!({ "measure": what, "refused_in_all_trials": refused });
         println!("{line}");
     }
     Ok(())
 }
 
-fn print_times(what: &str, routers: usize, mut times_ms: Vec<f64>) {
+fn print_quantiles(what: &str, routers: usize, mut times_ms: Vec<f64>) {
     times_ms.sort_by(f64::total_cmp);
     let at = |share: f64| {
         let index = (share * times_ms.len() as f64).ceil() as usize;
--- a/crates/sapphiretrack-bench/src/cell/detection.rs
+++ b/crates/sapphiretrack-bench/src/cell/detection.rs
@@ -1,4 +1,5 @@
-//! How soon the routers of a cell notice what happens to one of them, or to an engine.
+//! How long the routers of a cell take to detect that a router or an engine fails or leaves, and
+//! how long no request is granted when the steward of an engine goes.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,75 +8,84 @@
 use sapphiretrack_caller::{CallerClient, RequestOptions};
 use sapphiretrack_fakes::EngineFaults;
 
-use crate::cell::routers::{CALLER_KEY, Cell, RouterProcess, live_servers, operator};
+use crate::cell::routers::{CALLER_KEY, Cell, RouterProcess, live_server_count, operator_client};
 
-/// The event of a lost peer.
+/// The number of the log event of a lost peer.
 const PEER_LOST: u16 = 302;
-/// The event of a leaving peer.
+/// The number of the log event of a leaving peer.
 const PEER_LEAVING: u16 = 301;
-/// The event of a leaving server.
+/// The number of the log event of a leaving backend server.
 const SERVER_LEAVING: u16 = 401;
 
-/// What happens to a router.
+/// How a router goes away.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum RouterFate {
-    /// Its process is killed.
+pub(crate) enum RouterExit {
+    /// Its process is killed (SIGKILL).
     Killed,
-    /// It stands still, like a VM that is cut off without a word.
+    /// Its process is suspended (SIGSTOP): connections stay open and nothing is answered, as with a
+    /// VM that loses its network.
     Frozen,
-    /// Its planned stop begins.
+    /// Its planned stop begins (SIGTERM).
     Leaving,
 }
 
-/// Lets something happen to the last router, and returns when each other noticed.
-pub(crate) async fn router_fate(cell: &mut Cell, fate: RouterFate) -> Result<Vec<f64>, String> {
-    let victim = cell.routers.pop().ok_or("there is no router")?;
+/// Makes the last router go away and starts another one.
+///
+/// Returns the milliseconds after which each of the other routers logged it.
+pub(crate) async fn measure_router_exit(
+    cell: &mut Cell,
+    exit: RouterExit,
+) -> Result<Vec<f64>, String> {
+    let victim = cell.routers.pop().ok_or("the cell has no router")?;
     let name = format!("router=\"{}\"", victim.name);
     let since = Instant::now();
-    let (signal, event) = match fate {
-        RouterFate::Killed => ("KILL", PEER_LOST),
-        RouterFate::Frozen => ("STOP", PEER_LOST),
-        RouterFate::Leaving => ("TERM", PEER_LEAVING),
+    let (signal, event) = match exit {
+        RouterExit::Killed => ("KILL", PEER_LOST),
+        RouterExit::Frozen => ("STOP", PEER_LOST),
+        RouterExit::Leaving => ("TERM", PEER_LEAVING),
     };
     victim.signal(signal)?;
     let times = cell.routers.iter().map(|router| {
-        let noticed = router.wait_event(event, &name, since);
-        noticed.map(|(after, _)| after.as_secs_f64() * 1_000.0)
+        let detected = router.wait_for_event(event, &name, since);
+        detected.map(|(after, _)| after.as_secs_f64() * 1_000.0)
     });
     let times: Option<Vec<f64>> = times.collect();
     drop(victim);
     cell.add_router()?;
     cell.publish();
-    cell.wait_settled().await?;
-    times.ok_or_else(|| format!("{fate:?} was not noticed by all"))
+    cell.wait_until_all_live().await?;
+    times.ok_or_else(|| format!("{exit:?} was not detected by all routers"))
 }
 
-/// How often a flapping router goes down in one trial.
-const DOWNS: usize = 4;
+/// How often a flapping router crashes in one trial.
+const CRASHES_PER_TRIAL: usize = 4;
 
-/// The last router dies and starts again under its name, several times with no pause between;
-/// returns when each other router noticed each death.
-pub(crate) async fn router_flapping(cell: &mut Cell) -> Result<Vec<f64>, String> {
+/// Kills and restarts the last router under the same name, several times without a pause.
+///
+/// Returns the milliseconds after which each of the other routers logged each crash.
+pub(crate) async fn measure_flapping_router(cell: &mut Cell) -> Result<Vec<f64>, String> {
     let mut times = Vec::new();
-    for _ in 0..DOWNS {
-        let victim = cell.routers.pop().ok_or("there is no router")?;
+    for _ in 0..CRASHES_PER_TRIAL {
+        let victim = cell.routers.pop().ok_or("the cell has no router")?;
         let name = format!("router=\"{}\"", victim.name);
         let since = Instant::now();
         victim.signal("KILL")?;
         for router in &cell.routers {
-            let noticed = router.wait_event(PEER_LOST, &name, since);
-            let (after, _) = noticed.ok_or("a death was not noticed by all")?;
+            let detected = router.wait_for_event(PEER_LOST, &name, since);
+            let (after, _) = detected.ok_or("a crash was not detected by all routers")?;
             times.push(after.as_secs_f64() * 1_000.0);
         }
-        cell.start_again(&victim.name)?;
+        cell.restart_router(&victim.name)?;
         cell.publish();
-        cell.wait_settled().await?;
+        cell.wait_until_all_live().await?;
     }
     Ok(times)
 }
 
-/// An engine says that it is leaving; returns when each router closed it.
-pub(crate) async fn engine_leaving(cell: &Cell, engine: usize) -> Result<Vec<f64>, String> {
+/// Makes an engine report that it is leaving.
+///
+/// Returns the milliseconds after which each router logged it.
+pub(crate) async fn measure_leaving_engine(cell: &Cell, engine: usize) -> Result<Vec<f64>, String> {
     let since = Instant::now();
     cell.engines[engine].set_faults(EngineFaults {
         leaving: true,
@@ -83,19 +93,22 @@
     });
     let name = format!("server=\"engine-{engine}\"");
     let times = cell.routers.iter().map(|router| {
-        let noticed = router.wait_event(SERVER_LEAVING, &name, since);
-        noticed.map(|(after, _)| after.as_secs_f64() * 1_000.0)
+        let detected = router.wait_for_event(SERVER_LEAVING, &name, since);
+        detected.map(|(after, _)| after.as_secs_f64() * 1_000.0)
     });
     let times: Option<Vec<f64>> = times.collect();
-    times.ok_or_else(|| String::from("the leaving engine was not noticed by all"))
+    times.ok_or_else(|| String::from("the leaving engine was not detected by all routers"))
 }
 
-/// An engine answers no more; returns when each router closed it, seen by polling.
-pub(crate) async fn engine_silent(cell: &Cell, engine: usize) -> Result<Vec<f64>, String> {
-    let all = {
-        let first = cell.routers.first().ok_or("there is no router")?;
-        let status = operator(first).status().await;
-        live_servers(&status.map_err(|error| error.to_string())?)
+/// Makes an engine stop answering.
+///
+/// Returns the milliseconds after which each router listed one live server less. The routers are
+/// polled one after another, so the time of a router is at least that of the one before it.
+pub(crate) async fn measure_silent_engine(cell: &Cell, engine: usize) -> Result<Vec<f64>, String> {
+    let live = {
+        let first = cell.routers.first().ok_or("the cell has no router")?;
+        let status = operator_client(first).status().await;
+        live_server_count(&status.map_err(|error| error.to_string())?)
     };
     let since = Instant::now();
     cell.engines[engine].set_faults(EngineFaults {
@@ -105,18 +118,18 @@
     let polls = cell
         .routers
         .iter()
-        .map(|router| wait_live(router, all - 1, since));
-    let times = futures_join(polls.collect()).await;
+        .map(|router| wait_for_live_servers(router, live - 1, since));
+    let times = await_in_order(polls.collect()).await;
     cell.engines[engine].set_faults(EngineFaults::default());
-    let until = cell
+    let recoveries = cell
         .routers
         .iter()
-        .map(|router| wait_live(router, all, since));
-    futures_join(until.collect()).await;
+        .map(|router| wait_for_live_servers(router, live, since));
+    await_in_order(recoveries.collect()).await;
     Ok(times)
 }
 
-async fn futures_join<Wait>(waits: Vec<Wait>) -> Vec<f64>
+async fn await_in_order<Wait>(waits: Vec<Wait>) -> Vec<f64>
 where
     Wait: Future<Output = f64>,
 {
@@ -127,29 +140,31 @@
     times
 }
 
-async fn wait_live(router: &RouterProcess, count: usize, since: Instant) -> f64 {
+async fn wait_for_live_servers(router: &RouterProcess, count: usize, since: Instant) -> f64 {
     loop {
-        let status = operator(router).status().await;
-        if status.is_ok_and(|status| live_servers(&status) == count) {
+        let status = operator_client(router).status().await;
+        if status.is_ok_and(|status| live_server_count(&status) == count) {
             return since.elapsed().as_secs_f64() * 1_000.0;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// What callers met around the death of the steward of a pool's only engine.
+/// What callers observe when the steward of a pool's only engine goes away.
 #[derive(Clone, Debug)]
-pub(crate) struct Gap {
-    /// From the kill to the first answer after it that began after it.
+pub(crate) struct GrantGap {
+    /// The longest time without a complete answer from the signal on, in milliseconds.
     pub(crate) without_grants_ms: f64,
-    /// Chats refused as not run in between, by the refusal's code.
+    /// Chats without a complete answer, by error code; the code is empty if there was no error
+    /// body.
     pub(crate) refused: BTreeMap<String, u32>,
 }
 
-/// Kills the steward of engine 0 and chats through another router until one is answered.
-pub(crate) async fn steward_gap(cell: &mut Cell, planned: bool) -> Result<Gap, String> {
-    let first = cell.routers.first().ok_or("there is no router")?;
-    let status = operator(first).status().await;
+/// Kills the steward of engine 0, or stops it as planned, and sends chats to another router for
+/// four seconds, or longer until one is complete.
+pub(crate) async fn measure_grant_gap(cell: &mut Cell, planned: bool) -> Result<GrantGap, String> {
+    let first = cell.routers.first().ok_or("the cell has no router")?;
+    let status = operator_client(first).status().await;
     let status = status.map_err(|error| error.to_string())?;
     let steward = status
         .servers
@@ -163,7 +178,7 @@
         .position(|router| router.name == steward);
     let victim = cell
         .routers
-        .remove(index.ok_or("the steward is not in the cell")?);
+        .remove(index.ok_or("the steward is not a router of the cell")?);
     let url = format!("http://{}", cell.routers[0].vm.address);
     let client = CallerClient::new();
     let options = RequestOptions {
@@ -179,7 +194,8 @@
     drop(client.chat(&url, body.clone(), &options, |_| {}).await);
     victim.signal(if planned { "TERM" } else { "KILL" })?;
     let since = Instant::now();
-    // A planned stop answers on for a while: what counts is the longest time between answers.
+    // During a planned stop chats are still answered for a while, so the longest time between two
+    // answers is measured, not the time to the first answer.
     let mut last = since;
     let mut longest = Duration::ZERO;
     let mut refused: BTreeMap<String, u32> = BTreeMap::new();
@@ -200,8 +216,8 @@
     drop(victim);
     cell.add_router()?;
     cell.publish();
-    cell.wait_settled().await?;
-    Ok(Gap {
+    cell.wait_until_all_live().await?;
+    Ok(GrantGap {
         without_grants_ms: longest.as_secs_f64() * 1_000.0,
         refused,
     })
--- a/crates/sapphiretrack-bench/src/cell/mod.rs
+++ b/crates/sapphiretrack-bench/src/cell/mod.rs
@@ -1,4 +1,4 @@
-//! Measures one cell: what routers spend on control, and how soon they notice what happens.
+//! Measurements of one cell: the resources that routers use, and how fast they detect failures.
 
 mod command;
 mod detection;
--- a/crates/sapphiretrack-bench/src/cell/routers.rs
+++ b/crates/sapphiretrack-bench/src/cell/routers.rs
@@ -1,4 +1,5 @@
-//! Routers as processes, with stand-ins of platform and engines in this one.
+//! A cell whose routers are child processes and whose platform and engines are fakes in this
+//! process.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -11,21 +12,21 @@
 use sapphiretrack_operator::OperatorClient;
 use sapphiretrack_operator::wire::{ApplyContract, Status};
 
-/// The key of the callers.
+/// The caller key of the one customer.
 pub(crate) const CALLER_KEY: &str = "caller-key-of-the-cell-runs";
 const OPERATOR_KEY: &str = "operator-key-of-the-cell-runs";
 const CELL_KEY: &str = "cell-key-of-the-cell-runs";
-/// How long a step of the set-up may take.
-const LIMIT: Duration = Duration::from_secs(60);
+/// The timeout of each wait: for a log event, for the status of all routers, for the contract.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A line of a router's log, with when it came.
+/// A line of a router's log with the time of its arrival.
 #[derive(Clone, Debug)]
 struct LogLine {
-    at: Instant,
+    arrived: Instant,
     text: String,
 }
 
-/// A router process.
+/// A router as a child process; it is killed on drop.
 pub(crate) struct RouterProcess {
     pub(crate) name: String,
     pub(crate) vm: VmRecord,
@@ -34,7 +35,7 @@
 }
 
 impl RouterProcess {
-    /// Starts a router and waits until it serves.
+    /// Starts a router and waits for the log event with its addresses.
     fn start(name: &str, index: usize, platform: &FakePlatform) -> Result<Self, String> {
         let program = std::env::current_exe().map_err(|error| error.to_string())?;
         let program = program.with_file_name("sapphiretrackd");
@@ -58,13 +59,16 @@
             .spawn()
             .map_err(|error| format!("{}: {error}", program.display()))?;
         let lines: Arc<Mutex<Vec<LogLine>>> = Arc::default();
-        let kept = lines.clone();
-        let output = child.stderr.take().ok_or("the router has no log")?;
+        let shared_lines = lines.clone();
+        let output = child
+            .stderr
+            .take()
+            .ok_or("the router's standard error is not captured")?;
         std::thread::spawn(move || {
             for text in BufReader::new(output).lines().map_while(Result::ok) {
-                let at = Instant::now();
-                let mut lines = kept.lock().unwrap_or_else(PoisonError::into_inner);
-                lines.push(LogLine { at, text });
+                let arrived = Instant::now();
+                let mut lines = shared_lines.lock().unwrap_or_else(PoisonError::into_inner);
+                lines.push(LogLine { arrived, text });
             }
         });
         let mut router = Self {
@@ -82,12 +86,13 @@
             child,
             lines,
         };
-        let started = router.wait_event(100, "", Instant::now());
-        let (_, line) = started.ok_or_else(|| format!("{name} does not start"))?;
-        router.vm.address = field(&line, "callers")?;
+        let started = router.wait_for_event(100, "", Instant::now());
+        let (_, line) =
+            started.ok_or_else(|| format!("{name} logged no start within {WAIT_TIMEOUT:?}"))?;
+        router.vm.address = address_field(&line, "callers")?;
         router.vm.role = VmRole::Router {
-            peer_address: field(&line, "peers")?,
-            operator_address: field(&line, "operators")?,
+            peer_address: address_field(&line, "peers")?,
+            operator_address: address_field(&line, "operators")?,
         };
         Ok(router)
     }
@@ -109,22 +114,24 @@
         Err(format!("kill -{name} failed"))
     }
 
-    /// Waits for an event whose line holds `text` and came after `since`.
-    pub(crate) fn wait_event(
+    /// Waits for a log line of an event that contains `text` and arrived at `since` or later.
+    ///
+    /// Returns the time from `since` to its arrival, and the line; `None` on a timeout.
+    pub(crate) fn wait_for_event(
         &self,
         number: u16,
         text: &str,
         since: Instant,
     ) -> Option<(Duration, String)> {
         let event = format!("event=\"{number}\"");
-        let until = Instant::now() + LIMIT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
             let found = lines.iter().find(|line| {
-                line.at >= since && line.text.contains(&event) && line.text.contains(text)
+                line.arrived >= since && line.text.contains(&event) && line.text.contains(text)
             });
             if let Some(line) = found {
-                return Some((line.at - since, line.text.clone()));
+                return Some((line.arrived - since, line.text.clone()));
             }
             drop(lines);
             std::thread::sleep(Duration::from_millis(5));
@@ -140,16 +147,16 @@
     }
 }
 
-/// A cell: routers as processes, the rest in this process.
+/// A cell: routers as child processes, fakes of platform and engines in this process.
 pub(crate) struct Cell {
     pub(crate) platform: FakePlatform,
     pub(crate) engines: Vec<FakeEngine>,
     pub(crate) routers: Vec<RouterProcess>,
-    started: usize,
+    started_routers: usize,
 }
 
 impl Cell {
-    /// Starts a cell and waits until every router sees all of it.
+    /// Starts a cell, waits until every router lists all of it as live, and applies a contract.
     pub(crate) async fn start(routers: usize, engines: usize) -> Result<Self, String> {
         let platform = FakePlatform::start(PlatformSettings::default())
             .await
@@ -158,7 +165,7 @@
             platform,
             engines: Vec::new(),
             routers: Vec::new(),
-            started: 0,
+            started_routers: 0,
         };
         for _ in 0..engines {
             let engine = FakeEngine::start(EngineSettings::default()).await;
@@ -169,29 +176,29 @@
             cell.add_router()?;
         }
         cell.publish();
-        cell.wait_settled().await?;
+        cell.wait_until_all_live().await?;
         cell.apply_contract().await?;
         Ok(cell)
     }
 
-    /// Starts one more router.
+    /// Starts a router under a new name; the platform lists it after [`Self::publish`].
     pub(crate) fn add_router(&mut self) -> Result<(), String> {
-        let name = format!("router-{}", self.started);
-        let router = RouterProcess::start(&name, self.started, &self.platform)?;
-        self.started += 1;
+        let name = format!("router-{}", self.started_routers);
+        let router = RouterProcess::start(&name, self.started_routers, &self.platform)?;
+        self.started_routers += 1;
         self.routers.push(router);
         Ok(())
     }
 
-    /// Starts a router anew under a name that one had before.
-    pub(crate) fn start_again(&mut self, name: &str) -> Result<(), String> {
-        let router = RouterProcess::start(name, self.started, &self.platform)?;
-        self.started += 1;
+    /// Starts a router under the name of an earlier one.
+    pub(crate) fn restart_router(&mut self, name: &str) -> Result<(), String> {
+        let router = RouterProcess::start(name, self.started_routers, &self.platform)?;
+        self.started_routers += 1;
         self.routers.push(router);
         Ok(())
     }
 
-    /// Gives the platform the list as it stands.
+    /// Sets the platform's list of VMs to the current routers and engines.
     pub(crate) fn publish(&self) {
         let routers = self.routers.iter().map(|router| router.vm.clone());
         let engines = self
@@ -211,20 +218,22 @@
         self.platform.set_vms(routers.chain(engines).collect());
     }
 
-    /// Waits until every router sees all routers and engines.
-    pub(crate) async fn wait_settled(&self) -> Result<(), String> {
-        let until = Instant::now() + LIMIT;
+    /// Waits until every router lists all routers and engines as live.
+    pub(crate) async fn wait_until_all_live(&self) -> Result<(), String> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         for router in &self.routers {
             loop {
-                if let Ok(status) = operator(router).status().await
+                if let Ok(status) = operator_client(router).status().await
                     && status.routers.len() == self.routers.len()
-                    && live_servers(&status) == self.engines.len()
+                    && live_server_count(&status) == self.engines.len()
                     && status.routers.iter().all(|line| line.state == "live")
                 {
                     break;
                 }
-                if Instant::now() > until {
-                    return Err(String::from("the cell does not settle"));
+                if Instant::now() > deadline {
+                    return Err(String::from(
+                        "the routers do not list all VMs of the cell as live",
+                    ));
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -246,18 +255,18 @@
             seen_version: 0,
             contract_toml,
         };
-        let first = self.routers.first().ok_or("there is no router")?;
-        let reply = operator(first).apply(&request).await;
+        let first = self.routers.first().ok_or("the cell has no router")?;
+        let reply = operator_client(first).apply(&request).await;
         reply.map_err(|error| error.to_string())?;
         for router in &self.routers {
-            let until = Instant::now() + LIMIT;
-            while operator(router)
+            let deadline = Instant::now() + WAIT_TIMEOUT;
+            while operator_client(router)
                 .status()
                 .await
                 .is_ok_and(|status| status.config_version == 0)
             {
-                if Instant::now() > until {
-                    return Err(String::from("the contract does not come into force"));
+                if Instant::now() > deadline {
+                    return Err(String::from("the contract is not in force on every router"));
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -266,19 +275,19 @@
     }
 }
 
-/// An operators' client of a router.
-pub(crate) fn operator(router: &RouterProcess) -> OperatorClient {
+/// A client of a router's operator interface.
+pub(crate) fn operator_client(router: &RouterProcess) -> OperatorClient {
     let VmRole::Router {
         operator_address, ..
     } = router.vm.role
     else {
-        unreachable!("a router's line says router");
+        unreachable!("the VM record of a router has the role of a router");
     };
     OperatorClient::new(&format!("http://{operator_address}"), OPERATOR_KEY, 5_000)
 }
 
-/// How many servers a router takes for live.
-pub(crate) fn live_servers(status: &Status) -> usize {
+/// The number of servers that a router's status lists as live.
+pub(crate) fn live_server_count(status: &Status) -> usize {
     let live = status
         .servers
         .iter()
@@ -286,9 +295,9 @@
     live.count()
 }
 
-fn field(line: &str, name: &str) -> Result<SocketAddr, String> {
+fn address_field(line: &str, name: &str) -> Result<SocketAddr, String> {
     let marker = format!(" {name}=\"");
-    let missing = || format!("no {name} in {line:?}");
+    let missing = || format!("no address {name:?} in the log line {line:?}");
     let (_, rest) = line.split_once(&marker).ok_or_else(missing)?;
     let (value, _) = rest.split_once('"').ok_or_else(missing)?;
     value.parse().map_err(|_| missing())
--- a/crates/sapphiretrack-bench/src/cell/usage.rs
+++ b/crates/sapphiretrack-bench/src/cell/usage.rs
@@ -1,37 +1,37 @@
-//! What processes use, read from the process table and the kernel's socket statistics.
+//! Usage of processes, read from `/proc` and from `ss`.
 
 use std::collections::BTreeMap;
 use std::process::Command;
 
-/// Clock ticks a second of the process table.
+/// Clock ticks per second in `/proc/PID/stat` (`USER_HZ`).
 const TICKS_PER_S: f64 = 100.0;
 
-/// What one process has used so far.
+/// The usage of one process since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
-    /// Processor time in seconds.
+    /// User and system CPU time in seconds.
     pub(crate) cpu_s: f64,
     /// Resident memory in bytes.
     pub(crate) resident_bytes: u64,
 }
 
-/// Payload bytes of one TCP connection of a process.
+/// Payload bytes of one TCP connection of a process since it was opened.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SocketBytes {
     pub(crate) sent: u64,
     pub(crate) received: u64,
 }
 
-/// A connection: process, own port, other port.
+/// A connection: process id, local port, remote port.
 pub(crate) type SocketKey = (u32, u16, u16);
 
-/// Reads what a process has used.
-pub(crate) fn usage_of(id: u32) -> Result<Usage, String> {
+/// Reads the usage of a process; an error says what could not be read.
+pub(crate) fn process_usage(id: u32) -> Result<Usage, String> {
     let stat = read(&format!("/proc/{id}/stat"))?;
-    // The name in parentheses may hold spaces; the fields after it do not.
+    // The process name in parentheses may contain spaces; the fields after it do not.
     let (_, fields) = stat
         .rsplit_once(") ")
-        .ok_or("a process line without a name")?;
+        .ok_or("/proc/PID/stat: no process name")?;
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<f64>().ok());
     let (user, system) = (ticks(11), ticks(12));
@@ -44,13 +44,14 @@
         kilobytes.parse::<u64>().ok()
     });
     Ok(Usage {
-        cpu_s: cpu_s.ok_or("a process line without times")?,
-        resident_bytes: resident.ok_or("a process without memory")? * 1_024,
+        cpu_s: cpu_s.ok_or("/proc/PID/stat: no CPU times")?,
+        resident_bytes: resident.ok_or("/proc/PID/status: no VmRSS")? * 1_024,
     })
 }
 
-/// Reads the payload bytes of all TCP connections on this machine, by process.
-pub(crate) fn sockets() -> Result<BTreeMap<SocketKey, SocketBytes>, String> {
+/// Reads the payload bytes of all established TCP connections on this machine that belong to a
+/// process.
+pub(crate) fn socket_bytes() -> Result<BTreeMap<SocketKey, SocketBytes>, String> {
     let output = Command::new("ss")
         .args(["-tinpHO", "state", "established"])
         .output()
@@ -62,7 +63,7 @@
 fn parse_socket(line: &str) -> Option<(SocketKey, SocketBytes)> {
     let mut columns = line.split_whitespace().skip(2);
     let port = |column: &str| column.rsplit_once(':')?.1.parse::<u16>().ok();
-    let (own, other) = (port(columns.next()?)?, port(columns.next()?)?);
+    let (local, remote) = (port(columns.next()?)?, port(columns.next()?)?);
     let (_, rest) = line.split_once("pid=")?;
     let id = rest.split(',').next()?.parse().ok()?;
     let number = |name: &str| {
@@ -73,7 +74,7 @@
         sent: number(" bytes_sent:").unwrap_or(0),
         received: number(" bytes_received:").unwrap_or(0),
     };
-    Some(((id, own, other), bytes))
+    Some(((id, local, remote), bytes))
 }
 
 fn read(path: &str) -> Result<String, String> {
