--- a/crates/sapphiretrack-bench/src/limits.rs
+++ b/crates/sapphiretrack-bench/src/limits.rs
@@ -1,7 +1,8 @@
-//! Over-admission of leased budgets against exact counting, by the decision code alone.
+//! Simulation of leased budgets: over-admission compared with one exact counter. It runs only the
+//! code that decides, without network and processes.
 //!
 //! Any number of limiters share one customer's contract. Time is virtual and an answer of the
-//! steward takes no time; what can go wrong between limiter and steward is part of the plan.
+//! steward takes no time; the faults between limiters and steward are part of the run's settings.
 
 mod tables;
 
@@ -15,135 +16,139 @@
 
 pub use self::tables::run;
 
-/// How often a limiter renews its lease.
+/// The period after which a limiter renews its lease.
 const RENEW_MS: u64 = 250;
 const CUSTOMER: &str = "customer-of-the-run";
 const MS_PER_S: f64 = 1_000.0;
 
-/// One run.
+/// The settings of one run.
 #[derive(Clone, Debug)]
 pub struct LimitsRun {
-    /// How many limiters there are.
+    /// The number of limiters.
     pub limiters: usize,
-    /// The contract's limits.
+    /// The contract's limits at the start.
     pub limits: Limits,
-    /// Requests that come, as a multiple of the contract's rate.
-    pub offered: f64,
-    /// How long the run is.
+    /// The offered load, as a multiple of the contract's request rate at the start.
+    pub offered_multiple: f64,
+    /// The duration of the run.
     pub duration_ms: u64,
-    /// The longest that a request runs.
-    pub longest_request_ms: u64,
-    /// What goes wrong.
+    /// The maximum duration of a request; durations are uniform from 1 ms up to it.
+    pub max_request_ms: u64,
+    /// The faults.
     pub faults: Vec<LimiterFault>,
     /// The seed of all random numbers.
     pub seed: u64,
 }
 
-/// What goes wrong in a run.
+/// A fault or a change of load or limits in a run.
 #[derive(Clone, Copy, Debug)]
 pub enum LimiterFault {
-    /// A limiter dies, with its requests.
-    Death {
-        /// Which.
+    /// A limiter crashes and its requests end.
+    Crash {
+        /// The index of the limiter.
         limiter: usize,
-        /// When.
+        /// The time of the event.
         at_ms: u64,
     },
-    /// A limiter reaches no steward, while its callers still reach it.
-    Cut {
-        /// Which.
+    /// A limiter cannot reach the steward, while its callers still reach it.
+    Partition {
+        /// The index of the limiter.
         limiter: usize,
-        /// From when.
+        /// The start.
         from_ms: u64,
-        /// Until when.
+        /// The end, exclusive.
         until_ms: u64,
     },
     /// A limiter's clock jumps.
     ClockStep {
-        /// Which.
+        /// The index of the limiter.
         limiter: usize,
-        /// When.
+        /// The time of the event.
         at_ms: u64,
-        /// How far.
+        /// The step; negative for a step back.
         step_ms: i64,
     },
-    /// The steward stands still, and answers nobody.
+    /// The steward is paused and answers no limiter.
     PausedSteward {
-        /// From when.
+        /// The start.
         from_ms: u64,
-        /// Until when.
+        /// The end, exclusive.
         until_ms: u64,
     },
-    /// Another steward takes over and knows nothing.
+    /// A steward takes over that does not know what the limiters hold.
     NewSteward {
-        /// When.
+        /// The time of the event.
         at_ms: u64,
     },
-    /// Requests come at another multiple of the rate from now on.
-    NewOffered {
-        /// When.
+    /// The offered load changes.
+    NewOfferedLoad {
+        /// The time of the event.
         at_ms: u64,
-        /// The multiple.
-        offered: f64,
+        /// The new multiple of the contract's request rate at the start.
+        offered_multiple: f64,
     },
-    /// The contract's rates and its in-flight limit are multiplied from now on.
+    /// The contract's rates and its in-flight limit are multiplied; the burst in seconds stays.
     NewLimits {
-        /// When.
+        /// The time of the event.
         at_ms: u64,
-        /// By what.
+        /// The factor.
         factor: f64,
     },
 }
 
-/// What came of a run.
+/// The counts of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitsResult {
-    /// Requests that came.
+    /// Requests that arrived.
     pub offered: u64,
     /// Requests that the limiters admitted.
     pub admitted: u64,
-    /// Requests that one exact counter admitted of the same ones.
+    /// Requests out of the same ones that one exact counter with the limits at the start admits.
     pub exact: u64,
-    /// The most requests above burst and rate that were admitted in any span of time.
+    /// The largest number of requests admitted in any interval beyond the burst plus the rate over
+    /// the interval.
     pub worst_excess: f64,
-    /// The most requests in flight above the limit.
+    /// The largest number of requests in flight above the limit.
     pub worst_in_flight_excess: u32,
-    /// Questions to the steward.
+    /// Requests of limiters to the steward ([`BudgetAsk`]).
     pub asks: u64,
-    /// Their encoded bytes.
+    /// Their encoded size in bytes.
     pub ask_bytes: u64,
     /// Requests admitted in the last second of the run.
     pub admitted_in_last_s: u64,
-    /// Requests admitted while the steward stood still.
+    /// Requests admitted while the steward was paused.
     pub admitted_in_pause: u64,
 }
 
 impl LimitsResult {
-    /// How much more than the exact counter was admitted; below zero for less.
-    pub fn over_percent(&self) -> f64 {
+    /// Requests admitted beyond those of the exact counter, in percent of them; negative if fewer
+    /// were admitted.
+    pub fn over_admission_percent(&self) -> f64 {
         (self.admitted as f64 - self.exact as f64) / self.exact.max(1) as f64 * 100.0
     }
 }
 
 impl LimitsResult {
-    fn note_ask(&mut self, ask: &BudgetAsk) {
+    fn record_ask(&mut self, ask: &BudgetAsk) {
         self.asks += 1;
         self.ask_bytes += bincode::serialized_size(ask).unwrap_or_default();
     }
 }
 
-/// A limiter of a run.
+/// The state of a limiter.
 struct Limiter {
     id: RouterId,
     held: HeldBudget,
+    /// The end of each request in flight.
     ends_ms: VecDeque<u64>,
+    /// The offset of the local clock.
     clock_step_ms: i64,
-    dead: bool,
+    crashed: bool,
 }
 
 impl LimitsRun {
-    /// A run without faults and with the usual limits.
-    pub fn new(limiters: usize, offered: f64, seed: u64) -> Self {
+    /// A run of 60 s without faults, with 200 requests/s and a burst of 2 s.
+    pub fn new(limiters: usize, offered_multiple: f64, seed: u64) -> Self {
         Self {
             limiters,
             limits: Limits {
@@ -152,15 +157,15 @@
                 burst_s: 2.0,
                 in_flight: 1_000,
             },
-            offered,
+            offered_multiple,
             duration_ms: 60_000,
-            longest_request_ms: 2_000,
+            max_request_ms: 2_000,
             faults: Vec::new(),
             seed,
         }
     }
 
-    /// Runs it.
+    /// Runs the simulation in steps of 1 ms.
     pub fn run(&self) -> LimitsResult {
         let mut state = RunState::new(self);
         for now_ms in 0..self.duration_ms {
@@ -170,17 +175,18 @@
     }
 }
 
-/// All that changes in a run.
+/// The state of a run.
 struct RunState {
     random: ChaCha8Rng,
     limits: Limits,
-    offered: f64,
+    offered_multiple: f64,
     limiters: Vec<Limiter>,
     ids: BTreeSet<RouterId>,
     steward: CustomerBudget,
     steward_id: RouterId,
     exact: [RateLimiter; 2],
-    /// Falls below zero when any span of time had more than burst and rate.
+    /// A token bucket with burst and request rate of the contract. Below zero, some interval had
+    /// more admissions than the burst plus the rate over the interval.
     allowance: f64,
     result: LimitsResult,
 }
@@ -193,7 +199,7 @@
             held: HeldBudget::new(0),
             ends_ms: VecDeque::new(),
             clock_step_ms: 0,
-            dead: false,
+            crashed: false,
         };
         Self {
             random: ChaCha8Rng::seed_from_u64(run.seed),
@@ -207,40 +213,44 @@
             ],
             allowance: limits.requests_per_s * limits.burst_s,
             limits,
-            offered: run.offered,
+            offered_multiple: run.offered_multiple,
             result: LimitsResult::default(),
         }
     }
 
     fn step(&mut self, run: &LimitsRun, now_ms: u64) {
-        self.begin_faults(run, now_ms);
+        self.apply_faults(run, now_ms);
         let burst = self.limits.requests_per_s * self.limits.burst_s;
         self.allowance = (self.allowance + self.limits.requests_per_s / MS_PER_S).min(burst);
         for index in 0..self.limiters.len() {
             self.end_requests(index, now_ms);
-            // Each limiter renews at its own time within the period.
+            // The renewals of the limiters are spread over the period, 7 ms apart.
             if (now_ms + index as u64 * 7).is_multiple_of(RENEW_MS) {
-                self.renew(run, index, now_ms);
+                self.renew_lease(run, index, now_ms);
             }
         }
-        let mut due = run.limits.requests_per_s * self.offered / MS_PER_S;
+        let mut due = run.limits.requests_per_s * self.offered_multiple / MS_PER_S;
         while due > 0.0 {
             if self.random.random_bool(due.min(1.0)) {
-                self.arrive(run, now_ms);
+                self.handle_arrival(run, now_ms);
             }
             due -= 1.0;
         }
         self.result.worst_excess = self.result.worst_excess.max(-self.allowance);
-        let in_flight: usize = self.limiters.iter().map(|l| l.ends_ms.len()).sum();
+        let in_flight: usize = self
+            .limiters
+            .iter()
+            .map(|limiter| limiter.ends_ms.len())
+            .sum();
         let excess = (in_flight as u32).saturating_sub(self.limits.in_flight);
         self.result.worst_in_flight_excess = self.result.worst_in_flight_excess.max(excess);
     }
 
-    fn begin_faults(&mut self, run: &LimitsRun, now_ms: u64) {
+    fn apply_faults(&mut self, run: &LimitsRun, now_ms: u64) {
         for fault in &run.faults {
             match *fault {
-                LimiterFault::Death { limiter, at_ms } if at_ms == now_ms => {
-                    self.limiters[limiter].dead = true;
+                LimiterFault::Crash { limiter, at_ms } if at_ms == now_ms => {
+                    self.limiters[limiter].crashed = true;
                     self.limiters[limiter].ends_ms.clear();
                 }
                 LimiterFault::ClockStep {
@@ -252,8 +262,11 @@
                     self.steward = CustomerBudget::new(&self.limits, false, now_ms);
                     self.steward_id.0 += 1;
                 }
-                LimiterFault::NewOffered { at_ms, offered } if at_ms == now_ms => {
-                    self.offered = offered;
+                LimiterFault::NewOfferedLoad {
+                    at_ms,
+                    offered_multiple,
+                } if at_ms == now_ms => {
+                    self.offered_multiple = offered_multiple;
                 }
                 LimiterFault::NewLimits { at_ms, factor } if at_ms == now_ms => {
                     self.limits.requests_per_s *= factor;
@@ -274,41 +287,41 @@
         }
     }
 
-    fn renew(&mut self, run: &LimitsRun, index: usize, now_ms: u64) {
+    fn renew_lease(&mut self, run: &LimitsRun, index: usize, now_ms: u64) {
         let limiter = &mut self.limiters[index];
         let local_ms = local_ms(limiter, now_ms);
-        if limiter.dead {
+        if limiter.crashed {
             return;
         }
         let ask = limiter
             .held
             .end_period(limiter.id, CUSTOMER, &self.limits, local_ms);
         let Some(ask) = ask else { return };
-        if is_cut(run, index, now_ms) {
+        if is_steward_unreachable(run, index, now_ms) {
             let part = EmergencyPart::new(limiter.id, &self.ids, CUSTOMER);
             return limiter.held.no_steward(part, &self.limits, local_ms);
         }
-        self.result.note_ask(&ask);
+        self.result.record_ask(&ask);
         let grant = self.steward.answer(&ask, &self.limits, 1.0, now_ms);
         limiter.held.answered_by(self.steward_id);
-        let _nothing_waits = limiter.held.take_grant(&grant, 0.0, local_ms, local_ms);
+        let _no_waiting_request = limiter.held.take_grant(&grant, 0.0, local_ms, local_ms);
     }
 
-    fn arrive(&mut self, run: &LimitsRun, now_ms: u64) {
+    fn handle_arrival(&mut self, run: &LimitsRun, now_ms: u64) {
         let index = self.random.random_range(0..self.limiters.len());
         let tokens = f64::from(self.random.random_range(50_u32..400));
-        let runs_ms = self.random.random_range(1..=run.longest_request_ms);
+        let runs_ms = self.random.random_range(1..=run.max_request_ms);
         self.result.offered += 1;
         self.count_exactly(tokens, now_ms);
         let limiter = &mut self.limiters[index];
-        if limiter.dead {
+        if limiter.crashed {
             return;
         }
         let local_ms = local_ms(limiter, now_ms);
         let admitted = match limiter.held.try_admit(tokens, &self.limits, local_ms) {
             Admission::Admitted => true,
             Admission::Refused(_) => false,
-            Admission::Ask if is_cut(run, index, now_ms) => {
+            Admission::Ask if is_steward_unreachable(run, index, now_ms) => {
                 let part = EmergencyPart::new(limiter.id, &self.ids, CUSTOMER);
                 limiter.held.no_steward(part, &self.limits, local_ms);
                 let admission = limiter.held.try_admit(tokens, &self.limits, local_ms);
@@ -316,7 +329,7 @@
             }
             Admission::Ask => {
                 let ask = limiter.held.ask(limiter.id, CUSTOMER, Some(tokens));
-                self.result.note_ask(&ask);
+                self.result.record_ask(&ask);
                 let grant = self.steward.answer(&ask, &self.limits, 1.0, now_ms);
                 limiter.held.answered_by(self.steward_id);
                 let taken = limiter.held.take_grant(&grant, tokens, local_ms, local_ms);
@@ -327,7 +340,7 @@
             limiter.ends_ms.push_back(now_ms + runs_ms);
             self.allowance -= 1.0;
             self.result.admitted += 1;
-            self.result.admitted_in_pause += u64::from(is_paused(run, now_ms));
+            self.result.admitted_in_pause += u64::from(is_steward_paused(run, now_ms));
             if now_ms + 1_000 >= run.duration_ms {
                 self.result.admitted_in_last_s += 1;
             }
@@ -348,18 +361,18 @@
     now_ms.saturating_add_signed(limiter.clock_step_ms)
 }
 
-fn is_cut(run: &LimitsRun, index: usize, now_ms: u64) -> bool {
+fn is_steward_unreachable(run: &LimitsRun, index: usize, now_ms: u64) -> bool {
     run.faults.iter().any(|fault| match *fault {
-        LimiterFault::Cut {
+        LimiterFault::Partition {
             limiter,
             from_ms,
             until_ms,
         } => limiter == index && (from_ms..until_ms).contains(&now_ms),
         _ => false,
-    }) || is_paused(run, now_ms)
+    }) || is_steward_paused(run, now_ms)
 }
 
-fn is_paused(run: &LimitsRun, now_ms: u64) -> bool {
+fn is_steward_paused(run: &LimitsRun, now_ms: u64) -> bool {
     run.faults.iter().any(|fault| match *fault {
         LimiterFault::PausedSteward { from_ms, until_ms } => (from_ms..until_ms).contains(&now_ms),
         _ => false,
--- a/crates/sapphiretrack-bench/tests/limits.rs
+++ b/crates/sapphiretrack-bench/tests/limits.rs
@@ -1,12 +1,13 @@
-//! Limits over many limiters: never above the contract, whatever happens between them.
+//! Limits shared by many limiters: admissions stay within the contract, also under faults.
 
 use sapphiretrack_bench::limits::{LimiterFault, LimitsResult, LimitsRun};
 use sapphiretrack_core::{EMERGENCY_MS, EMERGENCY_SHARE, HELD_SHARE, UNSURE_SHARE};
 
-/// Rounding of a running sum of a million steps.
+/// The rounding error of a running sum of a million steps.
 const ROUNDING: f64 = 0.001;
 
-fn surge(faults: Vec<LimiterFault>) -> LimitsResult {
+/// Runs nine limiters for 20 s at five times the contract's rate.
+fn run_surge(faults: Vec<LimiterFault>) -> LimitsResult {
     let run = LimitsRun {
         faults,
         duration_ms: 20_000,
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn a_surge_over_any_number_of_limiters_stays_within_the_contract_and_uses_it() {
+fn a_surge_over_any_number_of_limiters_uses_the_contract_without_exceeding_it() {
     for limiters in [1, 9, 360] {
         let run = LimitsRun {
             duration_ms: 20_000,
@@ -29,18 +30,24 @@
         };
         let result = run.run();
         assert_within_contract(&result);
-        assert!(result.over_percent() < 2.0, "{limiters}: {result:?}");
-        assert!(result.over_percent() > -10.0, "{limiters}: {result:?}");
+        assert!(
+            result.over_admission_percent() < 2.0,
+            "{limiters}: {result:?}"
+        );
+        assert!(
+            result.over_admission_percent() > -10.0,
+            "{limiters}: {result:?}"
+        );
     }
 }
 
 #[test]
-fn a_surge_that_finds_chunks_held_and_the_bucket_full_stays_within_the_contract() {
+fn a_surge_with_leased_chunks_and_a_full_bucket_stays_within_the_contract() {
     let run = LimitsRun {
         duration_ms: 20_000,
-        faults: vec![LimiterFault::NewOffered {
+        faults: vec![LimiterFault::NewOfferedLoad {
             at_ms: 10_000,
-            offered: 20.0,
+            offered_multiple: 20.0,
         }],
         ..LimitsRun::new(9, 0.9, 3)
     };
@@ -48,7 +55,7 @@
 }
 
 #[test]
-fn a_new_steward_gives_out_few_places_before_it_has_heard_of_the_others() {
+fn a_new_steward_grants_a_share_of_the_slots_until_earlier_leases_have_expired() {
     use sapphiretrack_core::{BUDGET_LEASE_MS, CustomerBudget, HeldBudget, Needed, RouterId};
     let mut limits = LimitsRun::new(1, 1.0, 1).limits;
     limits.in_flight = 60;
@@ -65,13 +72,13 @@
         }
         admitted
     };
-    let unsure_places = (UNSURE_SHARE * f64::from(limits.in_flight)) as u32;
-    assert_eq!(admitted_at(0), unsure_places);
+    let new_steward_slots = (UNSURE_SHARE * f64::from(limits.in_flight)) as u32;
+    assert_eq!(admitted_at(0), new_steward_slots);
     assert_eq!(admitted_at(BUDGET_LEASE_MS), limits.in_flight);
 }
 
 #[test]
-fn a_lease_that_is_not_renewed_ends_at_the_holder_before_the_steward_forgets_it() {
+fn a_lease_that_is_not_renewed_expires_at_the_holder_before_it_does_at_the_steward() {
     use sapphiretrack_core::{
         Admission, Amounts, BUDGET_LEASE_MS, BudgetGrant, HeldBudget, Needed,
     };
@@ -86,9 +93,9 @@
         },
         slots: 5,
     };
-    // The answer was a long time on its way: the lease counts from the question.
+    // The answer arrived 1 s after the request: the lease counts from the request.
     held.take_grant(&grant, 0.0, 0, 1_000)
-        .expect("nothing waits");
+        .expect("no request waits");
     assert_eq!(held.try_admit(1.0, &limits, 1_001), Admission::Admitted);
     let before_forgotten_ms = BUDGET_LEASE_MS - 100;
     let admission = held.try_admit(1.0, &limits, before_forgotten_ms);
@@ -96,7 +103,7 @@
 }
 
 #[test]
-fn a_changed_contract_takes_back_what_is_held_before_the_next_request() {
+fn a_changed_contract_revokes_leased_budget_before_the_next_request() {
     use sapphiretrack_core::{Admission, Amounts, BudgetGrant, HeldBudget, Needed};
     let mut limits = LimitsRun::new(1, 1.0, 1).limits;
     let mut held = HeldBudget::new(0);
@@ -109,7 +116,8 @@
         },
         slots: 5,
     };
-    held.take_grant(&grant, 0.0, 0, 0).expect("nothing waits");
+    held.take_grant(&grant, 0.0, 0, 0)
+        .expect("no request waits");
     assert_eq!(held.try_admit(1.0, &limits, 1), Admission::Admitted);
     limits.requests_per_s /= 2.0;
     assert_eq!(held.try_admit(1.0, &limits, 2), Admission::Ask);
@@ -126,13 +134,13 @@
 }
 
 #[test]
-fn a_dead_limiter_lets_nobody_admit_more_and_its_share_comes_back() {
-    let result = surge(vec![
-        LimiterFault::Death {
+fn the_lease_of_a_crashed_limiter_is_not_granted_twice_and_is_reclaimed() {
+    let result = run_surge(vec![
+        LimiterFault::Crash {
             limiter: 2,
             at_ms: 6_000,
         },
-        LimiterFault::Death {
+        LimiterFault::Crash {
             limiter: 5,
             at_ms: 6_100,
         },
@@ -142,57 +150,55 @@
 }
 
 #[test]
-fn limiters_that_are_cut_off_spend_no_more_than_their_stated_part() {
+fn disconnected_limiters_admit_no_more_than_their_emergency_share() {
     let limits = LimitsRun::new(1, 1.0, 1).limits;
-    let cut = |limiter| LimiterFault::Cut {
+    let partition = |limiter| LimiterFault::Partition {
         limiter,
         from_ms: 4_000,
         until_ms: 12_000,
     };
-    // The steward goes on giving out all; the time is bounded and so is the burst.
+    // The steward still grants the whole contract to the other limiters, so what the disconnected
+    // ones admit comes on top. Their emergency budget has a burst and a time limit.
     let span_s = EMERGENCY_MS as f64 / 1_000.0;
-    let stated = EMERGENCY_SHARE * limits.requests_per_s * (limits.burst_s + span_s);
+    let bound = EMERGENCY_SHARE * limits.requests_per_s * (limits.burst_s + span_s);
     for count in [1, 8] {
-        let result = surge((0..count).map(cut).collect());
+        let result = run_surge((0..count).map(partition).collect());
         let part = f64::from(count as u32) / 9.0;
+        assert!(result.worst_excess <= bound * part + ROUNDING, "{result:?}");
+        let slots = f64::from(limits.in_flight) * EMERGENCY_SHARE * part;
         assert!(
-            result.worst_excess <= stated * part + ROUNDING,
-            "{result:?}"
-        );
-        let places = f64::from(limits.in_flight) * EMERGENCY_SHARE * part;
-        assert!(
-            f64::from(result.worst_in_flight_excess) <= places.ceil(),
+            f64::from(result.worst_in_flight_excess) <= slots.ceil(),
             "{result:?}"
         );
-        // Afterwards it is a debt: no more was admitted in all.
-        assert!(result.over_percent() < 0.5, "{result:?}");
+        // What they admitted is charged to the contract afterwards, so the total is not exceeded.
+        assert!(result.over_admission_percent() < 0.5, "{result:?}");
     }
 }
 
 #[test]
-fn while_the_steward_stands_still_the_stated_part_goes_on() {
+fn while_the_steward_is_paused_limiters_admit_the_emergency_share() {
     let limits = LimitsRun::new(1, 1.0, 1).limits;
     let burst = limits.requests_per_s * limits.burst_s;
-    for (until_ms, in_use_s) in [(7_000, 3.0), (16_000, 5.0)] {
+    for (until_ms, emergency_s) in [(7_000, 3.0), (16_000, 5.0)] {
         let from_ms = 4_000;
-        let result = surge(vec![LimiterFault::PausedSteward { from_ms, until_ms }]);
+        let result = run_surge(vec![LimiterFault::PausedSteward { from_ms, until_ms }]);
         assert!(result.worst_excess <= EMERGENCY_SHARE * burst, "{result:?}");
-        let places = EMERGENCY_SHARE * f64::from(limits.in_flight);
+        let slots = EMERGENCY_SHARE * f64::from(limits.in_flight);
         assert!(
-            f64::from(result.worst_in_flight_excess) <= places,
+            f64::from(result.worst_in_flight_excess) <= slots,
             "{result:?}"
         );
-        let part = EMERGENCY_SHARE * (limits.requests_per_s * in_use_s + burst);
+        let emergency = EMERGENCY_SHARE * (limits.requests_per_s * emergency_s + burst);
         let held = HELD_SHARE * burst;
         let admitted = result.admitted_in_pause as f64;
-        assert!(admitted > 0.9 * part, "{result:?}");
-        assert!(admitted <= part + held, "{result:?}");
-        assert!(result.over_percent() < 0.5, "{result:?}");
+        assert!(admitted > 0.9 * emergency, "{result:?}");
+        assert!(admitted <= emergency + held, "{result:?}");
+        assert!(result.over_admission_percent() < 0.5, "{result:?}");
     }
 }
 
 #[test]
-fn limiters_that_share_few_places_have_no_more_than_the_share_together() {
+fn emergency_shares_of_few_slots_add_up_to_the_total_share() {
     use sapphiretrack_core::{Admission, EmergencyPart, HeldBudget, RouterId};
     let mut limits = LimitsRun::new(1, 1.0, 1).limits;
     limits.in_flight = 24;
@@ -212,13 +218,13 @@
 }
 
 #[test]
-fn clocks_that_jump_do_not_lift_the_limit() {
+fn clock_steps_do_not_raise_the_limit() {
     let step = |limiter, at_ms, step_ms| LimiterFault::ClockStep {
         limiter,
         at_ms,
         step_ms,
     };
-    assert_within_contract(&surge(vec![
+    assert_within_contract(&run_surge(vec![
         step(0, 5_000, 3_600_000),
         step(1, 5_000, -4_000),
         step(2, 9_000, 30),
@@ -227,34 +233,37 @@
 }
 
 #[test]
-fn a_new_steward_that_knows_nothing_adds_no_more_than_is_stated() {
+fn a_new_steward_without_state_exceeds_the_limits_by_no_more_than_its_initial_share() {
     let limits = LimitsRun::new(1, 1.0, 1).limits;
-    let stated = UNSURE_SHARE * limits.requests_per_s * limits.burst_s;
-    let result = surge(vec![LimiterFault::NewSteward { at_ms: 7_000 }]);
-    assert!(result.worst_excess <= stated, "{result:?}");
+    let bound = UNSURE_SHARE * limits.requests_per_s * limits.burst_s;
+    let result = run_surge(vec![LimiterFault::NewSteward { at_ms: 7_000 }]);
+    assert!(result.worst_excess <= bound, "{result:?}");
     assert_eq!(result.worst_in_flight_excess, 0, "{result:?}");
     let mut tight = LimitsRun::new(9, 1.0, 5);
     tight.limits.in_flight = 60;
     tight.duration_ms = 20_000;
     tight.faults = vec![LimiterFault::NewSteward { at_ms: 7_000 }];
-    let unsure_places = (UNSURE_SHARE * f64::from(tight.limits.in_flight)) as u32;
+    let new_steward_slots = (UNSURE_SHARE * f64::from(tight.limits.in_flight)) as u32;
     let result = tight.run();
-    assert!(result.worst_in_flight_excess <= unsure_places, "{result:?}");
+    assert!(
+        result.worst_in_flight_excess <= new_steward_slots,
+        "{result:?}"
+    );
 }
 
 #[test]
-fn a_lowered_contract_holds_for_chunks_that_are_leased() {
-    let result = surge(vec![LimiterFault::NewLimits {
+fn a_lowered_contract_applies_to_leased_chunks() {
+    let result = run_surge(vec![LimiterFault::NewLimits {
         at_ms: 10_000,
         factor: 0.1,
     }]);
-    // A tenth of 200 a second, and not what was leased at the old rate.
+    // A tenth of 200 requests/s, without what was leased at the old rate.
     assert!(result.admitted_in_last_s <= 24, "{result:?}");
     assert!(result.worst_excess <= ROUNDING, "{result:?}");
 }
 
 #[test]
-fn an_idle_limiter_gives_its_chunk_back() {
+fn an_idle_limiter_returns_its_chunk() {
     use sapphiretrack_core::{Admission, CustomerBudget, HeldBudget, RouterId};
     let limits = LimitsRun::new(1, 1.0, 1).limits;
     let mut steward = CustomerBudget::new(&limits, true, 0);
@@ -263,14 +272,15 @@
         if let Some(ask) = held.end_period(RouterId(1), "customer", &limits, now_ms) {
             let grant = steward.answer(&ask, &limits, 1.0, now_ms);
             held.take_grant(&grant, 0.0, now_ms, now_ms)
-                .expect("nothing waits");
+                .expect("no request waits");
         }
     };
     for _ in 0..8 {
         if held.try_admit(10.0, &limits, 0) != Admission::Admitted {
             let ask = held.ask(RouterId(1), "customer", Some(10.0));
             let grant = steward.answer(&ask, &limits, 1.0, 0);
-            held.take_grant(&grant, 10.0, 0, 0).expect("there is room");
+            held.take_grant(&grant, 10.0, 0, 0)
+                .expect("the request is admitted");
         }
         held.leave();
     }
