--- a/crates/sapphiretrack-bench/src/report.rs
+++ b/crates/sapphiretrack-bench/src/report.rs
@@ -1,4 +1,4 @@
-//! The subcommand `report`: gathers JSON lines of all measurements into one file.
+//! The subcommand `report`: combines JSON lines of measurements into one Markdown or HTML file.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -8,17 +8,17 @@
 use snafu::{ResultExt, Snafu};
 
 const HELP: &str = "\
-sapphiretrack-bench report: gathers JSON lines of all measurements into one file
+sapphiretrack-bench report: combines JSON lines of measurements into one report
 
   sapphiretrack-bench report FILE... [--html] [--out FILE]
 
-Each line is a JSON object; `kind` names its section. The text is Markdown, or HTML with --html,
-and goes to standard output without --out.
+Each line is a JSON object; its field `kind` names its section. The report is Markdown, or HTML with
+--html, and is written to standard output unless --out is given.
 ";
-/// The section of lines without a kind.
+/// The section of lines without the field `kind`.
 const OTHER_KIND: &str = "other";
 
-/// Why a report cannot be made.
+/// Why a file cannot be added to a report.
 #[derive(Debug, Snafu)]
 pub enum ReportError {
     /// A file cannot be read.
@@ -26,29 +26,29 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A line is no JSON object.
-    #[snafu(display("{}, line {line}: {problem}; hint: one JSON object a line", path.display()))]
+    /// A line is not a JSON object.
+    #[snafu(display("{}, line {line}: {problem}; hint: one JSON object per line", path.display()))]
     Line {
         /// The file.
         path: PathBuf,
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
         /// What is wrong with it.
         problem: String,
     },
 }
 
-/// The lines of all files by kind.
+/// The lines of all files, grouped by kind.
 #[derive(Clone, Debug, Default)]
-pub struct Gathered {
+pub struct Report {
     sections: BTreeMap<String, Vec<Value>>,
 }
 
-impl Gathered {
-    /// Adds the lines of a file.
+impl Report {
+    /// Adds the lines of a file; empty lines are skipped.
     pub fn add_file(&mut self, path: &Path) -> Result<(), ReportError> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         for (index, line) in text.lines().enumerate() {
@@ -67,20 +67,20 @@
             let value: Value =
                 serde_json::from_str(line).map_err(|error| problem(error.to_string()))?;
             if !value.is_object() {
-                return Err(problem(String::from("it is no object")));
+                return Err(problem(String::from("not an object")));
             }
             self.add(value);
         }
         Ok(())
     }
 
-    /// Adds a line.
+    /// Adds a line, to the section `other` if it has no kind.
     pub fn add(&mut self, line: Value) {
         let kind = line["kind"].as_str().unwrap_or(OTHER_KIND).to_owned();
         self.sections.entry(kind).or_default().push(line);
     }
 
-    /// The report as Markdown: a section for each kind, a table of its plain fields.
+    /// The report as Markdown: for each kind a section with a table of its fields.
     pub fn markdown(&self) -> String {
         let mut text = String::from("# Measurements\n");
         for (kind, lines) in &self.sections {
@@ -96,7 +96,7 @@
         text
     }
 
-    /// The same as HTML.
+    /// The report as HTML, with the same sections and tables.
     pub fn html(&self) -> String {
         let mut text = String::from(
             "<!doctype html>\n<meta charset=\"utf-8\">\n<title>Measurements</title>\n\
@@ -134,17 +134,17 @@
     let out: Option<PathBuf> = arguments.opt_value_from_str("--out").map_err(with_hint)?;
     let files = arguments.finish();
     if files.is_empty() {
-        return Err(String::from("a file is missing; hint: see --help"));
+        return Err(String::from("no file is given; hint: see --help"));
     }
-    let mut gathered = Gathered::default();
+    let mut report = Report::default();
     for file in files {
-        let added = gathered.add_file(Path::new(&file));
+        let added = report.add_file(Path::new(&file));
         added.map_err(|error| error.to_string())?;
     }
     let text = if html {
-        gathered.html()
+        report.html()
     } else {
-        gathered.markdown()
+        report.markdown()
     };
     match out {
         Some(path) => std::fs::write(&path, text)
@@ -156,7 +156,8 @@
     }
 }
 
-/// The names of all plain fields of the lines, nested ones as `outer.inner`.
+/// The names of all fields of the lines that are not objects, nested ones as `outer.inner`, without
+/// `kind`.
 fn columns(lines: &[Value]) -> Vec<String> {
     let mut columns = Vec::new();
     for line in lines {
@@ -188,7 +189,7 @@
         Value::Number(number) if number.is_f64() => {
             format!("{:.3}", number.as_f64().unwrap_or_default())
         }
-        // What is longer than a cell is counted; the JSON lines have it whole.
+        // An array of objects does not fit in a cell; only its length is shown.
         Value::Array(items) if items.iter().any(Value::is_object) => {
             format!("{} entries", items.len())
         }
--- a/crates/sapphiretrack-bench/src/slopes/command.rs
+++ b/crates/sapphiretrack-bench/src/slopes/command.rs
@@ -1,4 +1,4 @@
-//! The subcommand `slopes`.
+//! The subcommand `slopes`: its flags, and the tables that it prints.
 
 use std::path::PathBuf;
 
@@ -9,13 +9,13 @@
 use crate::slopes::measures::Measure;
 
 const HELP: &str = "\
-sapphiretrack-bench slopes: what a router spends, by the size of each thing it holds
+sapphiretrack-bench slopes: resource usage of a router per peer, server, contract, request, ...
 
   --measure NAME  peers, servers, contracts, requests, tokens, orders, streams or chats; may be
-                  given again; all without it
-  --json FILE     adds each slope to a file as a JSON line
+                  repeated; all of them by default
+  --json FILE     appends each slope to a file as a JSON line
 
-The programs `sapphiretrackd` and `sapphiretrack-fakes` have to lie beside this one.
+The programs `sapphiretrackd` and `sapphiretrack-fakes` have to be in the folder of this one.
 ";
 
 /// Runs the subcommand; an error says what is wrong.
@@ -30,11 +30,11 @@
     if let Some(argument) = arguments.finish().first() {
         return Err(format!("unknown argument {argument:?}; hint: see --help"));
     }
-    let measures = measures_of(&names)?;
+    let measures = measures_by_name(&names)?;
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
     for measure in measures {
         let slope = runtime.block_on(measure.run())?;
-        print!("{}", table(&slope));
+        print!("{}", format_table(&slope));
         if let Some(path) = &json {
             append_json_line(path, &slope)?;
         }
@@ -42,20 +42,20 @@
     Ok(())
 }
 
-fn measures_of(names: &[String]) -> Result<Vec<Measure>, String> {
+fn measures_by_name(names: &[String]) -> Result<Vec<Measure>, String> {
     if names.is_empty() {
         return Ok(Measure::ALL.to_vec());
     }
     let find = |name: &String| {
         let found = Measure::ALL.into_iter().find(|m| m.name() == name);
-        found.ok_or_else(|| format!("there is no measure {name:?}; hint: see --help"))
+        found.ok_or_else(|| format!("unknown measure {name:?}; hint: see --help"))
     };
     names.iter().map(find).collect()
 }
 
-fn table(slope: &Slope) -> String {
+fn format_table(slope: &Slope) -> String {
     let mut text = format!(
-        "{}: one more is {:.2} us/s of processor time, {:.0} bytes, {:.4} platform reads/s, \
+        "{}: each one adds {:.2} us/s of CPU time, {:.0} bytes, {:.4} platform reads/s, \
          {:.4} writes/s\n",
         slope.of,
         slope.cpu_us_per_s,
--- a/crates/sapphiretrack-bench/src/slopes/line.rs
+++ b/crates/sapphiretrack-bench/src/slopes/line.rs
@@ -1,56 +1,57 @@
-//! Points of a measurement and the line through them.
+//! The points of a measurement and the least-squares line through them.
 
 use serde::{Deserialize, Serialize};
 
-/// What a router spent at one size, as the mean over the routers.
+/// The mean resource usage of a router at one size.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Point {
-    /// The size: of what, the slope says.
+    /// The size, in the unit of [`Slope::of`].
     pub size: f64,
-    /// Processor time in a second.
+    /// CPU time per second, in microseconds.
     pub cpu_us_per_s: f64,
-    /// Resident memory.
+    /// Resident memory in bytes.
     pub memory_bytes: f64,
-    /// Reads of the platform's table and objects in a second; those of the list of VMs come on top.
+    /// Reads of the platform's table and objects per second; reads of the list of VMs are not
+    /// counted.
     pub platform_reads_per_s: f64,
-    /// Writes of the platform in a second.
+    /// Writes to the platform per second.
     pub platform_writes_per_s: f64,
 }
 
-/// What a router spends by the size of one thing.
+/// The growth of a router's resource usage with the size of one quantity.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Slope {
     /// Always `slope`.
     pub kind: String,
-    /// What grows.
+    /// The quantity that is varied: the name of the measure.
     pub of: String,
-    /// Processor time in a second for one more.
+    /// Added CPU time per second for each unit, in microseconds.
     pub cpu_us_per_s: f64,
-    /// Memory for one more.
+    /// Added resident memory for each unit, in bytes.
     pub memory_bytes: f64,
-    /// Platform reads in a second for one more.
+    /// Added platform reads per second for each unit.
     pub platform_reads_per_s: f64,
-    /// Platform writes in a second for one more.
+    /// Added platform writes per second for each unit.
     pub platform_writes_per_s: f64,
-    /// What was measured.
+    /// The measured points.
     pub points: Vec<Point>,
 }
 
-/// The slopes of the least-squares lines through points of at least two sizes.
+/// The slopes of the least-squares lines through points; 0 if all points have one size.
 pub fn fit(of: &str, points: Vec<Point>) -> Slope {
-    let by = |value: fn(&Point) -> f64| slope_of(&points, value);
+    let slope = |value: fn(&Point) -> f64| least_squares_slope(&points, value);
     Slope {
         kind: String::from("slope"),
         of: of.to_owned(),
-        cpu_us_per_s: by(|point| point.cpu_us_per_s),
-        memory_bytes: by(|point| point.memory_bytes),
-        platform_reads_per_s: by(|point| point.platform_reads_per_s),
-        platform_writes_per_s: by(|point| point.platform_writes_per_s),
+        cpu_us_per_s: slope(|point| point.cpu_us_per_s),
+        memory_bytes: slope(|point| point.memory_bytes),
+        platform_reads_per_s: slope(|point| point.platform_reads_per_s),
+        platform_writes_per_s: slope(|point| point.platform_writes_per_s),
         points,
     }
 }
 
-fn slope_of(points: &[Point], value: fn(&Point) -> f64) -> f64 {
+fn least_squares_slope(points: &[Point], value: fn(&Point) -> f64) -> f64 {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
     let mean_value = points.iter().map(value).sum::<f64>() / count;
--- a/crates/sapphiretrack-bench/src/slopes/measures.rs
+++ b/crates/sapphiretrack-bench/src/slopes/measures.rs
@@ -1,4 +1,4 @@
-//! The measurements, each a line of points over growing sizes.
+//! The measurements: the usage of routers at several sizes of one quantity.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use crate::slopes::usage::Usage;
 use crate::soak::{Change, DEPLOYMENTS, SoakSettings};
 
-/// How long a point is measured.
+/// The time over which a point is measured.
 const WINDOW: Duration = Duration::from_secs(8);
-/// The wait before a point, for what a change of size leaves to be done.
-const SETTLE: Duration = Duration::from_secs(2);
+/// The wait before a point, so that work caused by the change of size is not measured.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// A measurement with its name.
+/// The quantity that a measurement varies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Measure {
     /// Routers of the cell.
@@ -25,15 +25,15 @@
     Servers,
     /// Contracts in the configuration.
     Contracts,
-    /// Requests a second.
+    /// Requests per second on a router.
     Requests,
-    /// Tokens a second.
+    /// Answer tokens per second on a router.
     Tokens,
-    /// Non-idempotent orders a second.
+    /// Non-idempotent service requests per second on a router.
     Orders,
-    /// Open streams.
+    /// Open streams on a router.
     Streams,
-    /// Remembered chats.
+    /// Chats in the placement memory of a router.
     Chats,
 }
 
@@ -64,15 +64,15 @@
         }
     }
 
-    /// Measures all its sizes.
+    /// Measures the usage at all sizes and fits the slopes.
     pub(crate) async fn run(self) -> Result<Slope, String> {
         let points = match self {
             Self::Peers => peers().await?,
             Self::Servers => servers().await?,
             Self::Contracts => contracts().await?,
-            Self::Requests => rates(self, &[0.0, 50.0, 100.0, 200.0]).await?,
+            Self::Requests => request_rates(self, &[0.0, 50.0, 100.0, 200.0]).await?,
             Self::Tokens => tokens().await?,
-            Self::Orders => rates(self, &[0.0, 30.0, 60.0]).await?,
+            Self::Orders => request_rates(self, &[0.0, 30.0, 60.0]).await?,
             Self::Streams => streams().await?,
             Self::Chats => chats().await?,
         };
@@ -83,8 +83,8 @@
 async fn peers() -> Result<Vec<Point>, String> {
     let mut points = Vec::new();
     for routers in [3, 6, 9, 12] {
-        let fleet = start(routers, 12, "--decode-ms=2").await;
-        points.push(idle_point(&fleet, routers as f64).await?);
+        let fleet = start_fleet(routers, 12, "--decode-ms=2").await;
+        points.push(measure_point(&fleet, routers as f64).await?);
     }
     Ok(points)
 }
@@ -92,37 +92,39 @@
 async fn servers() -> Result<Vec<Point>, String> {
     let mut points = Vec::new();
     for engines in [4, 16, 40] {
-        let fleet = start(3, engines, "--decode-ms=2").await;
-        points.push(idle_point(&fleet, engines as f64).await?);
+        let fleet = start_fleet(3, engines, "--decode-ms=2").await;
+        points.push(measure_point(&fleet, engines as f64).await?);
     }
     Ok(points)
 }
 
 async fn contracts() -> Result<Vec<Point>, String> {
-    let fleet = start(3, 4, "--decode-ms=2").await;
-    let mut points = vec![idle_point(&fleet, 1.0).await?];
+    let fleet = start_fleet(3, 4, "--decode-ms=2").await;
+    let mut points = vec![measure_point(&fleet, 1.0).await?];
     let mut applied = 1;
     for size in [200_u64, 400, 800] {
         while applied < size {
             applied += 1;
-            apply_another(&fleet, applied).await?;
+            apply_contract_of_another_customer(&fleet, applied).await?;
         }
         if !fleet
             .comes_to(|status| status.config_version >= applied)
             .await
         {
-            return Err(format!("{applied} contracts did not come in force"));
+            return Err(format!(
+                "the {applied} contracts are not in force on all routers"
+            ));
         }
-        points.push(idle_point(&fleet, size as f64).await?);
+        points.push(measure_point(&fleet, size as f64).await?);
     }
     Ok(points)
 }
 
-/// Applies a contract of a customer of its own.
-async fn apply_another(fleet: &Fleet, number: u64) -> Result<(), String> {
+/// Applies the contract of another customer.
+async fn apply_contract_of_another_customer(fleet: &Fleet, number: u64) -> Result<(), String> {
     let toml = DEPLOYMENTS[0].contract_toml(number);
     let toml = toml.replacen("teranga", &format!("customer-{number}"), 1);
-    // A key of its own, as no two customers share one.
+    // A caller key belongs to one customer only.
     let key = sapphiretrack_core::sha256_hex(&format!("caller-key-of-customer-{number}"));
     let shared = sapphiretrack_core::sha256_hex("caller-key-of-teranga");
     let request = sapphiretrack_operator::wire::ApplyContract {
@@ -138,9 +140,9 @@
     }
 }
 
-/// Points by the rate of requests on a router.
-async fn rates(measure: Measure, per_router: &[f64]) -> Result<Vec<Point>, String> {
-    let fleet = start(3, 20, "--decode-ms=2").await;
+/// Points by the rate of requests per router: chats, or orders for [`Measure::Orders`].
+async fn request_rates(measure: Measure, per_router: &[f64]) -> Result<Vec<Point>, String> {
+    let fleet = start_fleet(3, 20, "--decode-ms=2").await;
     let mut points = Vec::new();
     for rate in per_router {
         let orders = measure == Measure::Orders;
@@ -150,17 +152,17 @@
             order_share: 1.0,
             answer_tokens: 8,
             seed: 1 + *rate as u64,
-            ..small_load()
+            ..base_load()
         };
-        points.push(loaded_point(&fleet, *rate, settings).await?);
+        points.push(measure_loaded_point(&fleet, *rate, settings).await?);
     }
     Ok(points)
 }
 
-/// Points by the rate of tokens on a router, at one rate of requests.
+/// Points by the rate of tokens per router, at a constant rate of requests.
 async fn tokens() -> Result<Vec<Point>, String> {
     const REQUESTS_PER_S: f64 = 30.0;
-    let fleet = start(3, 20, "--decode-ms=2").await;
+    let fleet = start_fleet(3, 20, "--decode-ms=2").await;
     let mut points = Vec::new();
     for answer_tokens in [4, 32, 128] {
         let settings = LoadSettings {
@@ -168,37 +170,37 @@
             service_share: 0.0,
             answer_tokens,
             seed: u64::from(answer_tokens),
-            ..small_load()
+            ..base_load()
         };
         let size = REQUESTS_PER_S * f64::from(answer_tokens);
-        points.push(loaded_point(&fleet, size, settings).await?);
+        points.push(measure_loaded_point(&fleet, size, settings).await?);
     }
     Ok(points)
 }
 
-/// Points by the streams that are open on a router and bring a token a second.
+/// Points by the open streams on a router; each stream delivers one token per second.
 async fn streams() -> Result<Vec<Point>, String> {
     let mut points = Vec::new();
     for streams in [0_u64, 60, 120, 240] {
-        let fleet = start(1, 20, "--decode-ms=1000").await;
+        let fleet = start_fleet(1, 20, "--decode-ms=1000").await;
         let settings = LoadSettings {
             requests_per_s: 100.0,
             max_requests: streams,
             service_share: 0.0,
             answer_tokens: 25,
-            // The streams last longer than the urgent class's deadline.
+            // The streams last 25 s, longer than the deadline of the urgent class.
             classes: vec![ClassMix::new("floor", 1.0, 40_000)],
-            ..small_load()
+            ..base_load()
         };
         let known = KnownRouters::new(vec![fleet.caller_url(0)]);
         let load = (streams > 0).then(|| tokio::spawn(Load::new(settings, &known).run()));
         tokio::time::sleep(Duration::from_secs_f64(streams as f64 / 100.0)).await;
-        points.push(idle_point(&fleet, streams as f64).await?);
+        points.push(measure_point(&fleet, streams as f64).await?);
         if let Some(load) = load {
             let outcome = load.await.map_err(|error| error.to_string())?;
             if outcome.statistics.whole() != streams {
                 return Err(format!(
-                    "{} of {streams} streams ended whole",
+                    "{} of {streams} streams were complete",
                     outcome.statistics.whole()
                 ));
             }
@@ -207,9 +209,9 @@
     Ok(points)
 }
 
-/// Points by the chats that a router remembers; memory is what counts here.
+/// Points by the chats in the placement memory of a router; meant for the slope of memory.
 async fn chats() -> Result<Vec<Point>, String> {
-    let fleet = start(1, 20, "--decode-ms=1").await;
+    let fleet = start_fleet(1, 20, "--decode-ms=1").await;
     let known = KnownRouters::new(vec![fleet.caller_url(0)]);
     let mut points = Vec::new();
     let mut served = 0;
@@ -221,22 +223,22 @@
             returning_share: 0.0,
             answer_tokens: 1,
             seed: 100 + round as u64,
-            ..small_load()
+            ..base_load()
         };
         let outcome = Load::new(settings, &known).run().await;
         if outcome.statistics.whole() != size - served {
             return Err(format!(
-                "{} chats were answered",
+                "only {} new chats were complete",
                 outcome.statistics.whole()
             ));
         }
         served = size;
-        points.push(idle_point(&fleet, size as f64).await?);
+        points.push(measure_point(&fleet, size as f64).await?);
     }
     Ok(points)
 }
 
-fn small_load() -> LoadSettings {
+fn base_load() -> LoadSettings {
     LoadSettings {
         duration_s: 3_600.0,
         preamble_bytes: 400,
@@ -245,7 +247,7 @@
     }
 }
 
-async fn start(routers: usize, engines: usize, engine_flag: &str) -> Fleet {
+async fn start_fleet(routers: usize, engines: usize, engine_flag: &str) -> Fleet {
     let fleet = Fleet::start(FleetSettings {
         routers,
         engines,
@@ -267,34 +269,39 @@
     fleet
 }
 
-async fn loaded_point(fleet: &Fleet, size: f64, settings: LoadSettings) -> Result<Point, String> {
+/// Measures a point under load.
+async fn measure_loaded_point(
+    fleet: &Fleet,
+    size: f64,
+    settings: LoadSettings,
+) -> Result<Point, String> {
     if settings.requests_per_s == 0.0 {
-        return idle_point(fleet, size).await;
+        return measure_point(fleet, size).await;
     }
     let urls = (0..fleet.routers.len()).map(|router| fleet.caller_url(router));
     let load = Load::new(settings, &KnownRouters::new(urls.collect()));
     let stop = load.stopper();
     let running = tokio::spawn(load.run());
-    let point = idle_point(fleet, size).await;
+    let point = measure_point(fleet, size).await;
     stop();
     let outcome = running.await.map_err(|error| error.to_string())?;
     let (sent, whole) = (outcome.statistics.sent(), outcome.statistics.whole());
     if whole < sent {
         return Err(format!(
-            "{whole} of {sent} requests were answered at size {size}"
+            "{whole} of {sent} requests were complete at size {size}"
         ));
     }
     point
 }
 
-/// A point of the fleet as it runs, after a wait.
-async fn idle_point(fleet: &Fleet, size: f64) -> Result<Point, String> {
-    tokio::time::sleep(SETTLE).await;
+/// Measures a point of the fleet as it runs, after a wait.
+async fn measure_point(fleet: &Fleet, size: f64) -> Result<Point, String> {
+    tokio::time::sleep(SETTLE_TIME).await;
     let started = Instant::now();
-    let before = usage_of_routers(fleet)?;
+    let before = total_router_usage(fleet)?;
     let calls_before = platform_calls(fleet).await;
     tokio::time::sleep(WINDOW).await;
-    let after = usage_of_routers(fleet)?;
+    let after = total_router_usage(fleet)?;
     let calls_after = platform_calls(fleet).await;
     let seconds = started.elapsed().as_secs_f64();
     let routers = fleet.routers.len() as f64;
@@ -309,7 +316,7 @@
     })
 }
 
-fn usage_of_routers(fleet: &Fleet) -> Result<Usage, String> {
+fn total_router_usage(fleet: &Fleet) -> Result<Usage, String> {
     let mut sum = Usage::default();
     for router in &fleet.routers {
         let usage = Usage::of(router.process.id())?;
@@ -319,7 +326,7 @@
     Ok(sum)
 }
 
-/// Reads and writes of table and objects so far.
+/// The platform's reads and writes of table and objects since its start.
 async fn platform_calls(fleet: &Fleet) -> PlatformCalls {
     get_json(&format!("http://{}/fake/calls", fleet.platform_address)).await
 }
--- a/crates/sapphiretrack-bench/src/slopes/mod.rs
+++ b/crates/sapphiretrack-bench/src/slopes/mod.rs
@@ -1,4 +1,5 @@
-//! Slopes: what a router spends, by the size of each thing that it holds or does.
+//! The growth of a router's resource usage with the size of each quantity, such as peers, contracts
+//! or open streams.
 
 mod command;
 mod line;
--- a/crates/sapphiretrack-bench/src/slopes/usage.rs
+++ b/crates/sapphiretrack-bench/src/slopes/usage.rs
@@ -1,8 +1,8 @@
-//! What a process has spent, as the kernel counts it.
+//! CPU time and memory of a process, read from `/proc`.
 
 use std::fs;
 
-/// What a process has spent so far.
+/// The usage of a process: the CPU time of its threads so far, and its resident memory.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
     pub(crate) cpu_us: f64,
@@ -16,7 +16,7 @@
         let tasks = format!("/proc/{process}/task");
         let entries = fs::read_dir(&tasks).map_err(|error| format!("{tasks}: {error}"))?;
         for entry in entries.flatten() {
-            // A thread may end while it is read.
+            // A thread may end between the listing and this read.
             let Ok(text) = fs::read_to_string(entry.path().join("schedstat")) else {
                 continue;
             };
@@ -30,7 +30,7 @@
             .find_map(|line| line.strip_prefix("VmRSS:"))
             .and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok());
         let Some(resident_kb) = resident_kb else {
-            return Err(format!("{path}: there is no VmRSS"));
+            return Err(format!("{path}: no VmRSS line"));
         };
         Ok(Self {
             cpu_us,
--- a/crates/sapphiretrack-bench/tests/report.rs
+++ b/crates/sapphiretrack-bench/tests/report.rs
@@ -1,49 +1,50 @@
-//! The gathered report, and the lines through measured points.
+//! Reports combined from JSON lines, and slopes of least-squares lines through points.
 
 use std::path::PathBuf;
 
-use sapphiretrack_bench::report::{Gathered, ReportError};
+use sapphiretrack_bench::report::{Report, ReportError};
 use sapphiretrack_bench::slopes::{Point, fit};
 
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a temporary file.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("sapphiretrack-{name}-{}", std::process::id()));
     std::fs::write(&path, text).expect("the file is written");
     path
 }
 
 #[test]
-fn lines_are_gathered_by_kind_with_a_column_for_each_field() {
-    let path = file(
+fn lines_are_grouped_by_kind_with_a_column_for_each_field() {
+    let path = write_file(
         "gathered",
         "{\"kind\":\"load\",\"seed\":7,\"times\":{\"p95\":1.25}}\n\n\
          {\"kind\":\"policy\",\"name\":\"a|b <c>\"}\n{\"kind\":\"load\",\"seed\":8}\n",
     );
-    let mut gathered = Gathered::default();
-    gathered.add_file(&path).expect("good lines");
+    let mut report = Report::default();
+    report.add_file(&path).expect("the lines are valid");
     std::fs::remove_file(&path).expect("the file is removed");
-    let markdown = gathered.markdown();
+    let markdown = report.markdown();
     assert_eq!(
         markdown,
         "# Measurements\n\n## load\n\n| seed | times.p95 |\n| --- | --- |\n| 7 | 1.250 |\n\
          | 8 |  |\n\n## policy\n\n| name |\n| --- |\n| a\\|b <c> |\n"
     );
-    let html = gathered.html();
+    let html = report.html();
     assert!(html.contains("<td>a|b &lt;c&gt;</td>"), "{html}");
     assert!(html.contains("<th>seed</th><th>times.p95</th>"), "{html}");
 }
 
 #[test]
-fn a_line_that_is_no_object_is_told_with_its_number() {
+fn a_line_that_is_not_an_object_is_reported_with_its_number() {
     for text in ["{\"kind\":\"load\"}\n17\n", "{}\n{\n"] {
-        let path = file("flawed", text);
-        let error = Gathered::default().add_file(&path);
+        let path = write_file("flawed", text);
+        let error = Report::default().add_file(&path);
         std::fs::remove_file(&path).expect("the file is removed");
         assert!(
             matches!(error, Err(ReportError::Line { line: 2, .. })),
             "{error:?}"
         );
     }
-    let missing = Gathered::default().add_file(&PathBuf::from("no-such-file"));
+    let missing = Report::default().add_file(&PathBuf::from("no-such-file"));
     assert!(
         matches!(missing, Err(ReportError::Read { .. })),
         "{missing:?}"
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn the_line_through_points_has_their_slope() {
+fn fit_returns_least_squares_slopes() {
     let point = |size: f64, memory_bytes: f64| Point {
         size,
         cpu_us_per_s: 5.0 + 3.0 * size,
