--- a/crates/sapphiretrack-bench/benches/decision.rs
+++ b/crates/sapphiretrack-bench/benches/decision.rs
@@ -1,4 +1,4 @@
-//! One placement decision, by the number of servers.
+//! The duration of one placement decision, by the number of servers.
 
 use sapphiretrack_bench::policy::{DECISION_SERVERS, decide, decision_pool};
 
--- a/crates/sapphiretrack-bench/src/claims.rs
+++ b/crates/sapphiretrack-bench/src/claims.rs
@@ -1,4 +1,4 @@
-//! What a claim costs: added time, and writes of the platform.
+//! The cost of the claim of a non-idempotent request: added latency, and writes to the platform.
 
 use std::time::Instant;
 
@@ -13,9 +13,10 @@
 use crate::run::{block_on, check_all_read};
 use crate::small_fleet::{CALLER_KEY, SmallFleet, SmallFleetSettings, contract_toml};
 
+/// Requests of each kind for each delay of the platform.
 const REQUESTS: usize = 2_000;
 
-/// Runs the measurement.
+/// Runs the measurement and prints its results; an error says what failed.
 pub fn run(arguments: Arguments) -> Result<(), String> {
     check_all_read(arguments)?;
     block_on(2, async {
@@ -39,30 +40,35 @@
 }
 
 async fn measure(fleet: &SmallFleet, delay_ms: u64) -> Result<(), String> {
-    let mut plain = orders(fleet, "plant/pallets", &format!("plain-{delay_ms}")).await?;
-    let before = transactions(fleet);
-    let mut claimed = orders(fleet, "plant/labels/print", &format!("once-{delay_ms}")).await?;
-    let writes = (transactions(fleet) - before) as f64 / REQUESTS as f64;
-    for share in [0.5, 0.99] {
-        let (without, with) = (quantile(&mut plain, share), quantile(&mut claimed, share));
+    let mut plain = send_requests(fleet, "plant/pallets", &format!("plain-{delay_ms}")).await?;
+    let before = committed_transactions(fleet);
+    let mut claimed =
+        send_requests(fleet, "plant/labels/print", &format!("once-{delay_ms}")).await?;
+    let writes = (committed_transactions(fleet) - before) as f64 / REQUESTS as f64;
+    for at in [0.5, 0.99] {
+        let (without, with) = (quantile(&mut plain, at), quantile(&mut claimed, at));
         println!(
-            "platform delay {delay_ms} ms, p{:.0}: {without} us without, {with} us with a claim: \
+            "platform delay {delay_ms} ms, p{:.0}: {without} us without a claim, {with} us with one, \
              {} us added",
-            share * 100.0,
+            at * 100.0,
             with.saturating_sub(without),
         );
     }
-    println!("platform delay {delay_ms} ms: {writes:.3} platform writes a non-idempotent request");
+    println!(
+        "platform delay {delay_ms} ms: {writes:.3} platform writes per non-idempotent request"
+    );
     Ok(())
 }
 
-/// Transactions that took effect so far.
-fn transactions(fleet: &SmallFleet) -> u64 {
+/// The number of committed transactions: each one raises the row version by one.
+fn committed_transactions(fleet: &SmallFleet) -> u64 {
     let rows = fleet.platform.rows();
     rows.iter().map(|row| row.row_version).max().unwrap_or(0)
 }
 
-async fn orders(fleet: &SmallFleet, path: &str, name: &str) -> Result<Vec<u64>, String> {
+/// Sends requests one after another to the routers in turn; returns their latencies in
+/// microseconds.
+async fn send_requests(fleet: &SmallFleet, path: &str, name: &str) -> Result<Vec<u64>, String> {
     let client = CallerClient::new();
     let mut times_us = Vec::with_capacity(REQUESTS);
     for number in 0..REQUESTS {
@@ -80,7 +86,7 @@
         times_us.push(started.elapsed().as_micros() as u64);
         let answer = answer.map_err(|error| error.to_string())?;
         if answer.outcome != "complete" {
-            return Err(format!("order {number} is not complete: {answer:?}"));
+            return Err(format!("request {number} is not complete: {answer:?}"));
         }
     }
     Ok(times_us)
--- a/crates/sapphiretrack-bench/src/lib.rs
+++ b/crates/sapphiretrack-bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Measurements of the router fleet.
+//! Measurements and the demo of the router fleet.
 
 pub mod cell;
 pub mod claims;
--- a/crates/sapphiretrack-bench/src/main.rs
+++ b/crates/sapphiretrack-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements of the router fleet: each subcommand is one of them.
+//! The program `sapphiretrack-bench`: measurements of the router fleet and the demo, by subcommand.
 
 use std::process::ExitCode;
 
@@ -8,18 +8,18 @@
 const HELP: &str = "\
 sapphiretrack-bench: measurements and the demo
 
-  sapphiretrack-bench demo [--seed N]     the whole of it on embedded stand-ins, within a minute
-  sapphiretrack-bench limits              over-admission of 1, 9 and 360 limiters against exact counting
-  sapphiretrack-bench overload            goodput and late share by class at 1, 2 and 4 times the capacity
+  sapphiretrack-bench demo [--seed N]     a site with embedded fakes, for less than a minute
+  sapphiretrack-bench limits              over-admission of 1, 9 and 360 limiters compared with an exact counter
+  sapphiretrack-bench overload            goodput and share of late answers by class at 1, 2 and 4 times the capacity
   sapphiretrack-bench brown-out           retries while engines cut every stream
-  sapphiretrack-bench claims              added time and platform writes of a non-idempotent request
-  sapphiretrack-bench streams             memory of a router for each open stream
-  sapphiretrack-bench cell                control bytes, processor time and memory of one cell
-  sapphiretrack-bench overhead [--json]   what a router adds to a chat
+  sapphiretrack-bench claims              added latency and platform writes of a non-idempotent request
+  sapphiretrack-bench streams             memory of a router per open stream
+  sapphiretrack-bench cell                control traffic, CPU time and memory of a cell; detection of failures
+  sapphiretrack-bench overhead [--json]   latency that a router adds to a chat
   sapphiretrack-bench load                open-loop load against running routers
   sapphiretrack-bench soak                a fleet of processes under load and random faults
-  sapphiretrack-bench slopes              what a router spends, by the size of each thing it holds
-  sapphiretrack-bench report              gathers JSON lines of all measurements into one file
+  sapphiretrack-bench slopes              resource usage of a router per peer, server, contract, request, ...
+  sapphiretrack-bench report              combines JSON lines of measurements into one report
   sapphiretrack-bench policy              placement policies on one scenario:
                                           --scenario NAME --seed N [--seeds N] [--policy NAME] [--json]
                                           [--routers N] [--servers N] [--workspaces N] [--chats N]
@@ -27,13 +27,13 @@
                                           [--joins-per-min X] [--fails-per-min X] [--load-multiple X]
                                           [--caller-value-chance X] [--no-sticky] [--subset-servers N]
                                           [--heartbeat-ms N] [--plot FILE.svg]; or --decision:
-                                          the time of one decision by the number of servers;
-                                          or --replace: the reuse lost by replacing a router
+                                          the duration of one decision by the number of servers;
+                                          or --replace: the cache reuse lost by replacing a router
 
-Exit codes: 0 done and every promise held, 1 a promise was broken, 2 wrong use or cannot run
+Exit codes: 0 success, 1 a guarantee was violated, 2 wrong usage or a failure to run
 ";
-/// The exit code of a run that found a broken promise.
-const BROKEN_PROMISE: u8 = 1;
+/// The exit code of a run in which a guarantee was violated.
+const GUARANTEE_VIOLATED: u8 = 1;
 
 fn main() -> ExitCode {
     let mut arguments = Arguments::from_env();
@@ -43,9 +43,9 @@
         return ExitCode::SUCCESS;
     }
     if let Err(error) = start_logging(LogFormat::Text, log::LevelFilter::Error) {
-        eprintln!("sapphiretrack-bench: the log cannot start: {error}");
+        eprintln!("sapphiretrack-bench: logging cannot be started: {error}");
     }
-    let held = match name.as_str() {
+    let result = match name.as_str() {
         "demo" => sapphiretrack_bench::demo::run(arguments).map(|()| true),
         "limits" => sapphiretrack_bench::limits::run(arguments).map(|()| true),
         "overload" => sapphiretrack_bench::overload::run(arguments).map(|()| true),
@@ -59,11 +59,11 @@
         "slopes" => sapphiretrack_bench::slopes::run(arguments).map(|()| true),
         "report" => sapphiretrack_bench::report::run(arguments).map(|()| true),
         "policy" => sapphiretrack_bench::policy::run(arguments).map(|()| true),
-        _ => Err(format!("there is no command {name:?}; hint: see --help")),
+        _ => Err(format!("unknown subcommand {name:?}; hint: see --help")),
     };
-    match held {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN_PROMISE),
+        Ok(false) => ExitCode::from(GUARANTEE_VIOLATED),
         Err(error) => {
             eprintln!("sapphiretrack-bench: {error}");
             ExitCode::from(2)
--- a/crates/sapphiretrack-bench/src/open_loop.rs
+++ b/crates/sapphiretrack-bench/src/open_loop.rs
@@ -1,4 +1,4 @@
-//! Requests that come at random times whether earlier ones have ended or not.
+//! Open-loop load: chats arrive as a Poisson process, whether or not earlier ones have ended.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,69 +16,70 @@
 pub(crate) struct OfferedClass {
     /// Its name in the contract.
     pub(crate) name: &'static str,
-    /// Its part of the requests.
-    pub(crate) part: f64,
-    /// Its deadline.
+    /// Its share of the requests; the shares of all classes add up to 1.
+    pub(crate) share: f64,
+    /// The deadline of the class in the contract.
     pub(crate) deadline_ms: u64,
 }
 
 /// The load of one run.
 #[derive(Clone, Debug)]
-pub(crate) struct Offered {
-    /// Requests a second, on average.
+pub(crate) struct OfferedLoad {
+    /// The mean arrival rate.
     pub(crate) requests_per_s: f64,
-    /// For how long.
+    /// The duration.
     pub(crate) seconds: f64,
-    /// Tokens of each answer.
+    /// Tokens per answer.
     pub(crate) answer_tokens: u32,
     /// The classes.
     pub(crate) classes: Vec<OfferedClass>,
-    /// The seed of the times and classes.
+    /// The seed of arrival times, classes and routers.
     pub(crate) seed: u64,
 }
 
-/// What came of the requests of a class.
+/// The outcomes of the requests of a class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassResult {
-    /// Requests.
+    /// Requests sent.
     pub(crate) offered: u32,
-    /// Whole answers within the deadline.
+    /// Complete answers within the deadline.
     pub(crate) in_time: u32,
-    /// Answers after the deadline, and requests given up at it.
+    /// Complete answers after the deadline, and requests that failed with `deadline_passed`.
     pub(crate) late: u32,
-    /// Refused as not run.
+    /// Requests with the outcome `not-run`, without those that failed with `deadline_passed`.
     pub(crate) refused: u32,
-    /// All else.
+    /// Requests with any other outcome.
     pub(crate) other: u32,
-    /// Times of whole answers.
+    /// Times to the end of complete answers.
     pub(crate) times_ms: Vec<u64>,
-    /// Times to refusals.
+    /// Times to the refusals counted in `refused`.
     pub(crate) refusal_ms: Vec<u64>,
 }
 
-/// Offers the load and waits for the last answer.
-pub(crate) async fn offer(
+/// Offers the load and waits for the last answer; returns the outcomes by class.
+pub(crate) async fn offer_load(
     fleet: &SmallFleet,
-    offered: &Offered,
+    offered: &OfferedLoad,
 ) -> BTreeMap<&'static str, ClassResult> {
     let mut random = ChaCha8Rng::seed_from_u64(offered.seed);
     let client = CallerClient::new();
     let mut running = JoinSet::new();
     let started = Instant::now();
-    let mut at_s = 0.0;
+    let mut arrival_s = 0.0;
     let mut number = 0_usize;
     loop {
         let draw: f64 = random.random();
-        at_s += -(1.0 - draw).ln() / offered.requests_per_s;
-        if at_s >= offered.seconds {
+        arrival_s += -(1.0 - draw).ln() / offered.requests_per_s;
+        if arrival_s >= offered.seconds {
             break;
         }
-        let class = draw_class(&offered.classes, random.random());
+        let class = sample_class(&offered.classes, random.random());
         let url = fleet.caller_urls[random.random_range(0..fleet.caller_urls.len())].clone();
         number += 1;
         let (client, tokens) = (client.clone(), offered.answer_tokens);
-        tokio::time::sleep_until((started + Duration::from_secs_f64(at_s)).into()).await;
-        running.spawn(async move { (class, one(&client, &url, class, number, tokens).await) });
+        tokio::time::sleep_until((started + Duration::from_secs_f64(arrival_s)).into()).await;
+        running
+            .spawn(async move { (class, send_chat(&client, &url, class, number, tokens).await) });
     }
     let mut results: BTreeMap<&'static str, ClassResult> = BTreeMap::new();
     while let Some(Ok((class, (outcome, code, took_ms)))) = running.join_next().await {
@@ -104,17 +105,17 @@
     results
 }
 
-/// The value below which a share of the values lies; 0 for none.
-pub(crate) fn quantile(values: &mut [u64], share: f64) -> u64 {
+/// The value at a quantile (0 to 1), by the nearest rank; 0 if there are no values.
+pub(crate) fn quantile(values: &mut [u64], at: f64) -> u64 {
     values.sort_unstable();
     let last = values.len().saturating_sub(1);
     values
-        .get((last as f64 * share).round() as usize)
+        .get((last as f64 * at).round() as usize)
         .copied()
         .unwrap_or(0)
 }
 
-async fn one(
+async fn send_chat(
     client: &CallerClient,
     url: &str,
     class: OfferedClass,
@@ -148,11 +149,11 @@
     }
 }
 
-fn draw_class(classes: &[OfferedClass], draw: f64) -> OfferedClass {
-    let mut below = 0.0;
+fn sample_class(classes: &[OfferedClass], draw: f64) -> OfferedClass {
+    let mut cumulative = 0.0;
     for class in classes {
-        below += class.part;
-        if draw < below {
+        cumulative += class.share;
+        if draw < cumulative {
             return *class;
         }
     }
--- a/crates/sapphiretrack-bench/src/run.rs
+++ b/crates/sapphiretrack-bench/src/run.rs
@@ -1,10 +1,10 @@
-//! What the measurements share as programs: arguments that are read to the end, and a runtime.
+//! Helpers of the subcommands: the check for unused arguments, and the runtime.
 
 use std::future::Future;
 
 use pico_args::Arguments;
 
-/// Refuses arguments that no flag took.
+/// Returns an error if any argument is left that no flag has consumed.
 pub(crate) fn check_all_read(arguments: Arguments) -> Result<(), String> {
     match arguments.finish().first() {
         None => Ok(()),
@@ -12,7 +12,7 @@
     }
 }
 
-/// Runs a measurement on so many threads.
+/// Runs a measurement on a multi-threaded runtime.
 pub(crate) fn block_on<Work>(worker_threads: usize, work: Work) -> Result<(), String>
 where
     Work: Future<Output = Result<(), String>>,
--- a/crates/sapphiretrack-bench/src/site.rs
+++ b/crates/sapphiretrack-bench/src/site.rs
@@ -1,4 +1,5 @@
-//! A whole site in one process: three routers, a platform, engines and a plain service.
+//! A site in one process: three embedded routers, and fakes of the platform, of engines and of a
+//! plain service.
 
 use std::time::{Duration, Instant};
 
@@ -10,25 +11,27 @@
 use sapphiretrack_operator::wire::{ApplyContract, ChangeReply};
 use sapphiretrackd::{Daemon, Settings, StopReport};
 
-/// The key of the site's customer.
+/// The caller key of the site's customer.
 pub(crate) const CALLER_KEY: &str = "caller-key-of-the-site";
 const OPERATOR_KEY: &str = "operator-key-of-the-site";
 const CONTRACT: &str = include_str!("contract.toml");
 const ROUTERS: usize = 3;
-/// Requests that may wait on an engine; more than the routers ever send.
+/// The queue capacity of an engine; routers never send that many requests.
 const QUEUE_REQUESTS: u32 = 512;
 const ENGINES: usize = 4;
-const CALL_TIMEOUT_MS: u64 = 5_000;
-const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+/// The timeout of a call to a router's operator interface.
+const OPERATOR_TIMEOUT_MS: u64 = 5_000;
+/// The timeout of a wait for the status of all routers.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How a site is started.
+/// The settings of a site.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SiteSettings {
     /// The load bound of the routers.
     pub(crate) load_bound: LoadBound,
     /// The engines' time between two tokens.
     pub(crate) decode_ms: u64,
-    /// The engines' requests in a batch.
+    /// The number of requests that an engine runs in one batch.
     pub(crate) batch_slots: u32,
 }
 
@@ -42,7 +45,7 @@
     }
 }
 
-/// Everything that runs.
+/// A running site.
 pub(crate) struct Site {
     settings: SiteSettings,
     platform: FakePlatform,
@@ -61,14 +64,14 @@
 }
 
 impl Site {
-    /// Starts everything and waits until each router sees all of it.
+    /// Starts a site and waits until each router lists all routers, and all servers as live.
     pub(crate) async fn start(settings: SiteSettings) -> Result<Self, String> {
         let platform = FakePlatform::start(PlatformSettings::default())
             .await
-            .map_err(text)?;
+            .map_err(to_text)?;
         let service = FakeService::start(ServiceSettings::default())
             .await
-            .map_err(text)?;
+            .map_err(to_text)?;
         let load_bound = settings.load_bound;
         let mut site = Self {
             settings,
@@ -80,8 +83,13 @@
             started: Instant::now(),
         };
         let kind = PoolKind::Service;
-        site.vms
-            .push(server("plant-0", site.service.address(), "plant", kind, 0));
+        site.vms.push(server_vm(
+            "plant-0",
+            site.service.address(),
+            "plant",
+            kind,
+            0,
+        ));
         for _ in 0..ENGINES {
             site.add_engine().await?;
         }
@@ -90,7 +98,7 @@
         }
         site.platform.set_vms(site.vms.clone());
         let engines = site.engines.len();
-        site.wait(|status| {
+        site.wait_for_status(|status| {
             let live = status
                 .servers
                 .iter()
@@ -102,7 +110,8 @@
         Ok(site)
     }
 
-    /// Applies the site's contract; returns how long until it is in force everywhere.
+    /// Applies the site's contract; returns the time from its acceptance until it is in force on
+    /// all routers.
     pub(crate) async fn apply_contract(&self) -> Result<Duration, String> {
         let request = ApplyContract {
             change_id: String::from("first-contract"),
@@ -114,16 +123,17 @@
             .operator
             .apply(&request)
             .await
-            .map_err(text)?;
+            .map_err(to_text)?;
         let accepted = Instant::now();
         let ChangeReply::Accepted { version } = reply else {
-            return Err(format!("the contract is not accepted: {reply:?}"));
+            return Err(format!("the contract was not accepted: {reply:?}"));
         };
-        self.wait(|status| status.config_version >= version).await?;
+        self.wait_for_status(|status| status.config_version >= version)
+            .await?;
         Ok(accepted.elapsed())
     }
 
-    /// Starts another engine and lists it.
+    /// Starts another engine and adds it to the platform's list of VMs.
     pub(crate) async fn add_engine(&mut self) -> Result<(), String> {
         let index = self.engines.len();
         let settings = EngineSettings {
@@ -134,11 +144,11 @@
             decode_ms: self.settings.decode_ms,
             ..EngineSettings::default()
         };
-        let engine = FakeEngine::start(settings).await.map_err(text)?;
+        let engine = FakeEngine::start(settings).await.map_err(to_text)?;
         let name = format!("engine-{index}");
         let kind = PoolKind::Engine;
         self.vms
-            .push(server(&name, engine.address(), "assistant", kind, index));
+            .push(server_vm(&name, engine.address(), "assistant", kind, index));
         self.engines.push(engine);
         self.platform.set_vms(self.vms.clone());
         Ok(())
@@ -154,12 +164,12 @@
         &self.service
     }
 
-    /// How many routers there are.
+    /// The number of running routers.
     pub(crate) fn router_count(&self) -> usize {
         self.routers.len()
     }
 
-    /// Where callers may ask first.
+    /// The caller URL of each router.
     pub(crate) fn caller_urls(&self) -> Vec<String> {
         self.routers
             .iter()
@@ -167,7 +177,7 @@
             .collect()
     }
 
-    /// Stops the last router as planned; returns how many requests that cut.
+    /// Stops the last router as planned; returns the number of requests that the stop cut off.
     pub(crate) async fn stop_router(&mut self) -> Result<u64, String> {
         let Some(router) = self.routers.pop() else {
             return Ok(0);
@@ -175,7 +185,7 @@
         router.stop().await
     }
 
-    /// Stops all routers.
+    /// Stops all routers as planned, one after another.
     pub(crate) async fn stop_all(&mut self) -> Result<(), String> {
         for router in self.routers.drain(..) {
             router.stop().await?;
@@ -183,12 +193,12 @@
         Ok(())
     }
 
-    /// Control bytes that each router sent a second.
+    /// The control bytes per second that each router sent since the start of the site.
     pub(crate) async fn control_bytes_per_s(&self) -> Result<Vec<f64>, String> {
         let elapsed_s = self.started.elapsed().as_secs_f64();
         let mut rates = Vec::new();
         for router in &self.routers {
-            let metrics = router.operator.metrics().await.map_err(text)?;
+            let metrics = router.operator.metrics().await.map_err(to_text)?;
             let total: f64 = metrics
                 .lines()
                 .filter(|line| line.starts_with("sapphiretrack_control_bytes_total"))
@@ -200,13 +210,13 @@
     }
 
     async fn add_router(&mut self, index: usize, load_bound: LoadBound) -> Result<(), String> {
-        let free = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
         let settings = Settings {
             router_name: format!("router-{index}"),
             zone: format!("zone-{index}"),
-            caller_address: free,
-            operator_address: free,
-            peer_address: free,
+            caller_address: any_port,
+            operator_address: any_port,
+            peer_address: any_port,
             platform_url: self.platform.url(),
             cell_key: String::from("cell-key-of-the-site"),
             operator_key_sha256: sha256_hex(OPERATOR_KEY),
@@ -215,9 +225,10 @@
             ..Settings::default()
         };
         let zone = settings.zone.clone();
-        // A router has runtimes of its own, which may not be started inside another.
+        // A router starts runtimes of its own and blocks on them, which panics on a thread of
+        // another runtime.
         let starting = tokio::task::spawn_blocking(|| Daemon::start(settings));
-        let daemon = starting.await.map_err(text)?.map_err(text)?;
+        let daemon = starting.await.map_err(to_text)?.map_err(to_text)?;
         let operator_address = daemon.operator_address();
         self.vms.push(VmRecord {
             name: format!("router-{index}"),
@@ -232,23 +243,23 @@
         let operator_url = format!("http://{operator_address}");
         self.routers.push(Router {
             caller_url: format!("http://{}", daemon.caller_address()),
-            operator: OperatorClient::new(&operator_url, OPERATOR_KEY, CALL_TIMEOUT_MS),
-            thread: std::thread::spawn(move || daemon.run().map_err(text)),
+            operator: OperatorClient::new(&operator_url, OPERATOR_KEY, OPERATOR_TIMEOUT_MS),
+            thread: std::thread::spawn(move || daemon.run().map_err(to_text)),
         });
         Ok(())
     }
 
-    async fn wait<Holds>(&self, holds: Holds) -> Result<(), String>
+    async fn wait_for_status<Condition>(&self, condition: Condition) -> Result<(), String>
     where
-        Holds: Fn(&sapphiretrack_operator::wire::Status) -> bool,
+        Condition: Fn(&sapphiretrack_operator::wire::Status) -> bool,
     {
-        let waited = tokio::time::timeout(SETTLE_LIMIT, async {
+        let waited = tokio::time::timeout(STATUS_TIMEOUT, async {
             for router in &self.routers {
                 while !router
                     .operator
                     .status()
                     .await
-                    .is_ok_and(|status| holds(&status))
+                    .is_ok_and(|status| condition(&status))
                 {
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
@@ -256,22 +267,22 @@
         });
         waited
             .await
-            .map_err(|_| format!("the routers did not settle within {SETTLE_LIMIT:?}"))
+            .map_err(|_| format!("expected status not reached within {STATUS_TIMEOUT:?}"))
     }
 }
 
 impl Router {
     async fn stop(self) -> Result<u64, String> {
-        self.operator.stop().await.map_err(text)?;
+        self.operator.stop().await.map_err(to_text)?;
         let joined = tokio::task::spawn_blocking(move || self.thread.join());
-        let report = joined.await.map_err(text)?;
+        let report = joined.await.map_err(to_text)?;
         report
             .map_err(|_| String::from("the router panicked"))?
             .map(|report| report.cut_requests)
     }
 }
 
-fn server(
+fn server_vm(
     name: &str,
     address: std::net::SocketAddr,
     pool: &str,
@@ -290,7 +301,7 @@
     }
 }
 
-fn text<Error>(error: Error) -> String
+fn to_text<Error>(error: Error) -> String
 where
     Error: std::fmt::Display,
 {
--- a/crates/sapphiretrack-bench/src/small_fleet.rs
+++ b/crates/sapphiretrack-bench/src/small_fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet in this process: stand-ins and routers, for measurements of policy.
+//! A small fleet in this process: routers, and fakes of the platform, of engines and of a service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,19 +11,20 @@
 use sapphiretrack_operator::wire::{ApplyContract, ChangeReply};
 use sapphiretrackd::{Daemon, Settings};
 
-/// The key of the measurements' callers.
+/// The caller key of the one customer.
 pub(crate) const CALLER_KEY: &str = "bench-caller";
 const OPERATOR_KEY: &str = "bench-operator";
-const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+/// The timeout of a wait for the status of all routers.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The size of a small fleet.
+/// The settings of a small fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct SmallFleetSettings {
-    /// Routers.
+    /// The number of routers.
     pub(crate) routers: usize,
-    /// Engines of the pool `assistant`.
+    /// The number of engines in the pool `assistant`.
     pub(crate) engines: usize,
-    /// How each engine behaves.
+    /// The settings of each engine.
     pub(crate) engine: EngineSettings,
     /// The load bound of each pool.
     pub(crate) load_bound: LoadBound,
@@ -31,7 +32,7 @@
     pub(crate) contract_toml: String,
 }
 
-/// A running small fleet; it ends with the process.
+/// A running small fleet; its routers run until the process ends.
 pub(crate) struct SmallFleet {
     pub(crate) platform: FakePlatform,
     pub(crate) engines: Vec<FakeEngine>,
@@ -40,10 +41,11 @@
 }
 
 impl SmallFleet {
-    /// Starts all of it and waits until each router sees it.
+    /// Starts a fleet, waits until each router lists all routers, and all servers as live, and
+    /// applies the contract.
     pub(crate) async fn start(settings: SmallFleetSettings) -> Result<Self, String> {
         let platform = FakePlatform::start(PlatformSettings {
-            // Counted by the measurement itself; the stand-in must not be what limits.
+            // Measurements count the writes themselves; the fake must not limit them.
             writes_per_s: 1_000_000,
             ..PlatformSettings::default()
         })
@@ -55,7 +57,7 @@
             let engine = FakeEngine::start(settings.engine.clone())
                 .await
                 .map_err(|error| error.to_string())?;
-            vms.push(server(
+            vms.push(server_vm(
                 "engine",
                 index,
                 engine.address(),
@@ -67,7 +69,7 @@
         let service = FakeService::start(ServiceSettings::default())
             .await
             .map_err(|error| error.to_string())?;
-        vms.push(server(
+        vms.push(server_vm(
             "service",
             0,
             service.address(),
@@ -83,21 +85,21 @@
         for index in 0..settings.routers {
             vms.push(fleet.add_router(index, &settings.load_bound)?);
         }
-        let seen = (settings.routers, settings.engines + 1);
+        let expected = (settings.routers, settings.engines + 1);
         fleet.platform.set_vms(vms);
-        fleet.settle(seen).await?;
+        fleet.wait_until_listed(expected).await?;
         fleet.apply(&settings.contract_toml).await?;
         Ok(fleet)
     }
 
     fn add_router(&mut self, index: usize, load_bound: &LoadBound) -> Result<VmRecord, String> {
-        let free = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let name = format!("router-{index}");
         let settings = Settings {
             router_name: name.clone(),
-            caller_address: free,
-            operator_address: free,
-            peer_address: free,
+            caller_address: any_port,
+            operator_address: any_port,
+            peer_address: any_port,
             platform_url: self.platform.url(),
             cell_key: String::from("cell-key-of-the-bench"),
             operator_key_sha256: sha256_hex(OPERATOR_KEY),
@@ -105,7 +107,7 @@
             traffic_threads: 1,
             ..Settings::default()
         };
-        let [caller_address, peer_address, operator_address] = run_router(settings)?;
+        let [caller_address, peer_address, operator_address] = spawn_router(settings)?;
         let vm = VmRecord {
             name,
             zone: String::from("zone-1"),
@@ -123,9 +125,12 @@
         Ok(vm)
     }
 
-    async fn settle(&self, (routers, servers): (usize, usize)) -> Result<(), String> {
-        self.wait(|status| {
-            let live = status.servers.iter().filter(|one| one.state == "live");
+    async fn wait_until_listed(&self, (routers, servers): (usize, usize)) -> Result<(), String> {
+        self.wait_for_status(|status| {
+            let live = status
+                .servers
+                .iter()
+                .filter(|server| server.state == "live");
             status.routers.len() == routers && live.count() == servers
         })
         .await
@@ -141,49 +146,55 @@
         let reply = self.operators[0].apply(&request).await;
         match reply.map_err(|error| error.to_string())? {
             ChangeReply::Accepted { version } => {
-                self.wait(|status| status.config_version >= version).await
+                self.wait_for_status(|status| status.config_version >= version)
+                    .await
             }
-            other => Err(format!("the contract is not accepted: {other:?}")),
+            other => Err(format!("the contract was not accepted: {other:?}")),
         }
     }
 
-    async fn wait<Holds>(&self, holds: Holds) -> Result<(), String>
+    async fn wait_for_status<Condition>(&self, condition: Condition) -> Result<(), String>
     where
-        Holds: Fn(&sapphiretrack_operator::wire::Status) -> bool,
+        Condition: Fn(&sapphiretrack_operator::wire::Status) -> bool,
     {
-        let waited = tokio::time::timeout(SETTLE_LIMIT, async {
+        let waited = tokio::time::timeout(STATUS_TIMEOUT, async {
             for operator in &self.operators {
-                while !operator.status().await.is_ok_and(|status| holds(&status)) {
+                while !operator
+                    .status()
+                    .await
+                    .is_ok_and(|status| condition(&status))
+                {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
         });
         waited
             .await
-            .map_err(|_| String::from("the fleet does not settle"))
+            .map_err(|_| String::from("expected status not reached in time"))
     }
 }
 
-/// Runs a router on a thread of its own; gives the addresses of callers, peers and operators.
-fn run_router(settings: Settings) -> Result<[SocketAddr; 3], String> {
-    let (started, starts) = std::sync::mpsc::channel();
+/// Runs a router on a thread of its own; returns its addresses for callers, peers and operators.
+fn spawn_router(settings: Settings) -> Result<[SocketAddr; 3], String> {
+    let (address_sender, address_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let daemon = match Daemon::start(settings) {
             Ok(daemon) => daemon,
-            Err(error) => return drop(started.send(Err(error.to_string()))),
+            Err(error) => return drop(address_sender.send(Err(error.to_string()))),
         };
         let addresses = [
             daemon.caller_address(),
             daemon.peer_address(),
             daemon.operator_address(),
         ];
-        drop(started.send(Ok(addresses)));
+        drop(address_sender.send(Ok(addresses)));
         drop(daemon.run());
     });
-    starts.recv().map_err(|error| error.to_string())?
+    address_receiver.recv().map_err(|error| error.to_string())?
 }
 
-/// A contract of one customer with three classes, whose deadlines are given.
+/// A contract with practically unlimited rates and the classes `urgent`, `floor` and `night` with
+/// the given deadlines.
 pub(crate) fn contract_toml(deadlines_ms: [u64; 3]) -> String {
     let [urgent, floor, night] = deadlines_ms;
     format!(
@@ -217,7 +228,7 @@
     )
 }
 
-fn server(
+fn server_vm(
     kind: &str,
     index: usize,
     address: SocketAddr,
--- a/crates/sapphiretrack-bench/src/streams.rs
+++ b/crates/sapphiretrack-bench/src/streams.rs
@@ -1,4 +1,4 @@
-//! Memory of a router for each open stream, and for callers that do not read.
+//! Memory of a router per open stream, for callers that read and for callers that never read.
 
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
@@ -19,74 +19,83 @@
 use crate::small_fleet::{CALLER_KEY, contract_toml};
 
 const OPERATOR_KEY: &str = "bench-operator";
-const PORT: u16 = 17_180;
-const SLOW_CALLERS: usize = 100;
+/// The first of the ports in use; the second router starts at the tenth after it.
+const DEFAULT_PORT: u16 = 17_180;
+const NON_READING_CALLERS: usize = 100;
 
-/// Runs the measurement.
+/// Runs the measurement and prints its results; an error says what failed.
 pub fn run(mut arguments: Arguments) -> Result<(), String> {
     let port: u16 = arguments
         .opt_value_from_str("--port")
         .map_err(|error| error.to_string())?
-        .unwrap_or(PORT);
+        .unwrap_or(DEFAULT_PORT);
     check_all_read(arguments)?;
     block_on(2, async {
-        let reading = measure_reading(port, &[1_000, 3_000]);
+        let reading = measure_reading_callers(port, &[1_000, 3_000]);
         reading.await?;
-        measure_slow(port + 10).await
+        measure_non_reading_callers(port + 10).await
     })
 }
 
-/// Streams whose callers read: a token a second.
-async fn measure_reading(port: u16, counts: &[usize]) -> Result<(), String> {
+/// Measures streams whose callers read; the engine sends one token per second.
+async fn measure_reading_callers(port: u16, counts: &[usize]) -> Result<(), String> {
     let router = Router::start(port, 1_000).await?;
     let url = format!("http://127.0.0.1:{port}");
     let mut streams = JoinSet::new();
-    // The first requests make caches and threads: they are not counted.
-    open_reading(&mut streams, &url, 100).await;
-    let base = (streams.len(), router.memory_bytes()?);
+    // The first streams also fill caches and start threads, so they belong to the baseline.
+    open_reading_streams(&mut streams, &url, 100).await;
+    let baseline = (streams.len(), router.memory_bytes()?);
     for count in counts {
         let more = count - streams.len();
-        open_reading(&mut streams, &url, more).await;
-        report("reading", base, (streams.len(), router.memory_bytes()?));
+        open_reading_streams(&mut streams, &url, more).await;
+        print_memory("reading", baseline, (streams.len(), router.memory_bytes()?));
     }
     Ok(())
 }
 
-/// Streams whose callers never read, from an engine that is fast.
-async fn measure_slow(port: u16) -> Result<(), String> {
+/// Measures streams whose callers never read; the engine sends a token every millisecond.
+async fn measure_non_reading_callers(port: u16) -> Result<(), String> {
     let router = Router::start(port, 1).await?;
     let url = format!("http://127.0.0.1:{port}");
-    let mut warm = JoinSet::new();
-    open_reading(&mut warm, &url, 20).await;
-    let base = (0, router.memory_bytes()?);
+    let mut warm_up = JoinSet::new();
+    open_reading_streams(&mut warm_up, &url, 20).await;
+    let baseline = (0, router.memory_bytes()?);
     let mut open = Vec::new();
-    for number in 0..SLOW_CALLERS {
-        open.push(slow_caller(port, number).await?);
+    for number in 0..NON_READING_CALLERS {
+        open.push(non_reading_caller(port, number).await?);
     }
     for seconds in [5, 10, 15] {
         tokio::time::sleep(Duration::from_secs(5)).await;
         print!("after about {seconds} s, ");
-        report("never reading", base, (open.len(), router.memory_bytes()?));
+        print_memory(
+            "never reading",
+            baseline,
+            (open.len(), router.memory_bytes()?),
+        );
     }
     Ok(())
 }
 
-fn report(name: &str, (base_count, base_bytes): (usize, u64), (count, bytes): (usize, u64)) {
-    let each = bytes.saturating_sub(base_bytes) as f64 / (count - base_count) as f64;
+fn print_memory(
+    name: &str,
+    (baseline_count, baseline_bytes): (usize, u64),
+    (count, bytes): (usize, u64),
+) {
+    let per_stream = bytes.saturating_sub(baseline_bytes) as f64 / (count - baseline_count) as f64;
     println!(
-        "{count} streams, {name}: {} KiB in all, {:.1} KiB each, {:.0} streams within 1 GiB",
+        "{count} streams, {name}: {} KiB in total, {:.1} KiB per stream, {:.0} streams within 1 GiB",
         bytes >> 10,
-        each / 1_024.0,
-        ((1_u64 << 30) - base_bytes) as f64 / each,
+        per_stream / 1_024.0,
+        ((1_u64 << 30) - baseline_bytes) as f64 / per_stream,
     );
 }
 
-async fn open_reading(streams: &mut JoinSet<()>, url: &str, count: usize) {
+async fn open_reading_streams(streams: &mut JoinSet<()>, url: &str, count: usize) {
     for _ in 0..count {
         let (url, number) = (url.to_owned(), streams.len());
-        let (began, begins) = tokio::sync::oneshot::channel();
+        let (first_token_sender, first_token_received) = tokio::sync::oneshot::channel();
         streams.spawn(async move {
-            let mut began = Some(began);
+            let mut first_token_sender = Some(first_token_sender);
             let options = RequestOptions {
                 key: CALLER_KEY.to_owned(),
                 chat: Some(format!("chat-{number}")),
@@ -95,21 +104,23 @@
             let client = CallerClient::new();
             let body = chat_body(number);
             let answer = client.chat(&url, body, &options, |_| {
-                if let Some(began) = began.take() {
-                    let _ = began.send(());
+                if let Some(sender) = first_token_sender.take() {
+                    let _ = sender.send(());
                 }
             });
             drop(answer.await);
         });
-        // Opened one after another; a stream that is refused counts as none.
+        // Waits for the first token of every 50th stream, so that not all of them open at the same
+        // time. A stream that is refused ends the wait too, and is counted as a stream.
         if number % 50 == 49 {
-            drop(begins.await);
+            drop(first_token_received.await);
         }
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
 }
 
-async fn slow_caller(port: u16, number: usize) -> Result<TcpStream, String> {
+/// Sends a chat on a connection with a small receive buffer and reads nothing from it.
+async fn non_reading_caller(port: u16, number: usize) -> Result<TcpStream, String> {
     let failed = |error: std::io::Error| error.to_string();
     let socket = TcpSocket::new_v4().map_err(failed)?;
     socket.set_recv_buffer_size(4_096).map_err(failed)?;
@@ -136,7 +147,7 @@
     Bytes::from(body.to_string())
 }
 
-/// A router as a process of its own, with one engine in this process.
+/// A router as a child process, with fakes of the platform and of one engine in this process.
 struct Router {
     child: Child,
     _platform: FakePlatform,
@@ -181,11 +192,12 @@
             _platform: platform,
             _engine: engine,
         };
-        router.settle(port).await?;
+        router.set_up(port).await?;
         Ok(router)
     }
 
-    async fn settle(&self, port: u16) -> Result<(), String> {
+    /// Waits until the router lists the engine, and applies the contract.
+    async fn set_up(&self, port: u16) -> Result<(), String> {
         let operator = OperatorClient::new(
             &format!("http://127.0.0.1:{}", port + 1),
             OPERATOR_KEY,
@@ -208,10 +220,12 @@
                 return Ok(());
             }
         }
-        Err(String::from("the router does not settle"))
+        Err(String::from(
+            "the router did not list the engine and accept the contract within 500 attempts",
+        ))
     }
 
-    /// Resident memory of the router.
+    /// The resident memory of the router process.
     fn memory_bytes(&self) -> Result<u64, String> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .map_err(|error| error.to_string())?;
