--- a/crates/sapphiretrack-bench/src/policy/router/heartbeats.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/heartbeats.rs
@@ -44,7 +44,7 @@
                 next_reservation: self.next_reservation,
                 by_server,
             },
-            left_servers: Vec::new(),
+            leaving_servers: Vec::new(),
             list_digest: u64::MAX,
             suspects: Vec::new(),
             sections: Vec::new(),
--- a/crates/sapphiretrack-bench/src/policy/simulation/slot_requests.rs
+++ b/crates/sapphiretrack-bench/src/policy/simulation/slot_requests.rs
@@ -44,7 +44,7 @@
                 None => PeerRequest::Reserve(reserve_request),
                 Some(told) => PeerRequest::ReserveAgain {
                     request: reserve_request,
-                    told,
+                    known_load: told,
                 },
             });
         let at_us = self.now_us + self.scenario.peer_delay_us;
--- a/crates/sapphiretrack-tests/tests/leases.rs
+++ b/crates/sapphiretrack-tests/tests/leases.rs
@@ -6,7 +6,7 @@
 use sapphiretrack_fakes::{ArrivedOrder, FakePlatform, PlatformFaults, PlatformSettings};
 use sapphiretrack_operator::wire::{SetFencing, SetGoal};
 use sapphiretrack_platform::{
-    LeaseStore, LeaseWritten, PlatformClient, PlatformError, Settings, StoredLease,
+    LeaseStore, LeaseWriteResult, PlatformClient, PlatformError, Settings, StoredLease,
 };
 use sapphiretrack_tests::{ChildProcess, Fleet, FleetSettings, OPERATOR_KEY, get_json};
 
@@ -53,7 +53,7 @@
         .write(&before, &row(1, 1, 10))
         .await
         .expect("the outcome is known");
-    assert_eq!(written, LeaseWritten::Ours);
+    assert_eq!(written, LeaseWriteResult::Written);
     // A write that never arrived gets no lease, although it could still be on its way.
     let seen = store.read().await.expect("the row is read");
     platform.set_faults(lose(0, 1));
@@ -79,9 +79,9 @@
         ];
         let ours = results
             .iter()
-            .filter(|result| **result == LeaseWritten::Ours);
+            .filter(|result| **result == LeaseWriteResult::Written);
         assert_eq!(ours.count(), 1, "round {round}: {results:?}");
-        let winner = if results[0] == LeaseWritten::Ours {
+        let winner = if results[0] == LeaseWriteResult::Written {
             one
         } else {
             two
--- a/crates/sapphiretrackd/src/control/heartbeats.rs
+++ b/crates/sapphiretrackd/src/control/heartbeats.rs
@@ -299,7 +299,7 @@
                 .iter()
                 .any(|suspect| self.peers.get(*suspect).is_some()),
         ));
-        for (server, incarnation) in &heartbeat.left_servers {
+        for (server, incarnation) in &heartbeat.leaving_servers {
             self.mark_server_leaving(*server, *incarnation, now_ms);
         }
     }
@@ -317,7 +317,7 @@
             in_flight: InFlight::default(),
             servers: sightings.to_vec(),
             held: HeldSlots::default(),
-            left_servers: self.servers.new_marks(now_ms),
+            leaving_servers: self.servers.new_marks(now_ms),
             list_digest: self.list_digest,
             suspects: self.peers.lately_lost(now_ms),
             sections: self.sections(),
--- a/crates/sapphiretrackd/src/control/orders.rs
+++ b/crates/sapphiretrackd/src/control/orders.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sapphiretrack_backend::{OrderClient, OrderTaken};
+use sapphiretrack_backend::{OrderClient, OrderReply};
 use sapphiretrack_core::{
     EngineGoal, EngineOrder, Fencing, FencingCheck, Incarnation, LeaseKeeper, LeaseStep,
     LeaseTerms, RouterId, ServerId, ServerView, VmState, WeightBudget, first_order_ms, hash_parts,
     next_order, steward_of,
 };
 use sapphiretrack_platform::{
-    EngineGoals, GoalStore, LeaseStore, LeaseWritten, PlatformClient, PlatformError,
+    EngineGoals, GoalStore, LeaseStore, LeaseWriteResult, PlatformClient, PlatformError,
 };
 
 use crate::clock::Clock;
@@ -105,7 +105,7 @@
         let LeaseStep::Write(row) = step else {
             return Ok(());
         };
-        if self.lease_store.write(&stored, &row).await? == LeaseWritten::Ours {
+        if self.lease_store.write(&stored, &row).await? == LeaseWriteResult::Written {
             self.lease_keeper.note_written(&row, requested_ms);
             if self
                 .acquired
@@ -200,10 +200,10 @@
     async fn send_order(&self, address: SocketAddr, name: &str, order: &EngineOrder) {
         let fencing = order.fencing.to_string();
         match self.engines.order(address, order).await {
-            Ok(OrderTaken::Taken) => {
+            Ok(OrderReply::Accepted) => {
                 Event::ORDER_ACCEPTED.log(&[("server", name), ("fencing", &fencing)]);
             }
-            Ok(OrderTaken::Refused) => {
+            Ok(OrderReply::Refused) => {
                 Event::ORDER_REFUSED.log(&[("server", name), ("fencing", &fencing)]);
             }
             // The engine's state in the next round shows whether it took the order.
--- a/crates/sapphiretrackd/src/control/state.rs
+++ b/crates/sapphiretrackd/src/control/state.rs
@@ -260,9 +260,10 @@
                 PeerReply::Heartbeat(self.handle_heartbeat(*heartbeat, now_ms))
             }
             PeerRequest::Reserve(request) => self.reserve_for_peer(&request, None, now_ms),
-            PeerRequest::ReserveAgain { request, told } => {
-                self.reserve_for_peer(&request, Some(told), now_ms)
-            }
+            PeerRequest::ReserveAgain {
+                request,
+                known_load: told,
+            } => self.reserve_for_peer(&request, Some(told), now_ms),
             PeerRequest::Release {
                 router,
                 server,
--- a/crates/sapphiretrackd/src/control/thread.rs
+++ b/crates/sapphiretrackd/src/control/thread.rs
@@ -293,7 +293,7 @@
             sequence,
             reply,
         }),
-        (Err(error), Some(router)) if error.is_refused() => {
+        (Err(error), Some(router)) if error.is_connection_refused() => {
             handle.send(Command::PeerConnectionRefused {
                 router,
                 incarnation,
--- a/crates/sapphiretrackd/src/dispatch/attempts.rs
+++ b/crates/sapphiretrackd/src/dispatch/attempts.rs
@@ -137,7 +137,7 @@
     fn record_attempt_failure(&self, slot: &Slot, error: &BackendError) {
         let name = format!("{:016x}", slot.server.0);
         Event::ATTEMPT_FAILED.log(&[("server", &name), ("reason", &error.to_string())]);
-        if matches!(error, BackendError::Crossed { .. }) {
+        if matches!(error, BackendError::WrongAttempt { .. }) {
             Event::CROSSED_REPLY.log(&[("server", &name)]);
             self.metrics.crossed_replies.inc();
         }
--- a/crates/sapphiretrackd/src/dispatch/chat.rs
+++ b/crates/sapphiretrackd/src/dispatch/chat.rs
@@ -188,7 +188,7 @@
                     return Err(self.log.refusal(RefusalCode::DeadlinePassed, message));
                 }
                 AttemptEnd::Failed(error) => {
-                    if matches!(error, BackendError::Late) && self.log.delivered_tokens() == 0 {
+                    if matches!(error, BackendError::TimedOut) && self.log.delivered_tokens() == 0 {
                         self.dispatcher.record_deadline_exceeded(&self.request);
                     }
                     let deadline = self.deadline;
@@ -433,13 +433,13 @@
     }
 }
 
-/// Returns the result of `work`, or [`BackendError::Late`] after `limit`.
+/// Returns the result of `work`, or [`BackendError::TimedOut`] after `limit`.
 async fn with_timeout<Value, Work>(limit: Duration, work: Work) -> Result<Value, BackendError>
 where
     Work: Future<Output = Result<Value, BackendError>>,
 {
     match tokio::time::timeout(limit, work).await {
         Ok(result) => result,
-        Err(_) => Err(BackendError::Late),
+        Err(_) => Err(BackendError::TimedOut),
     }
 }
--- a/crates/sapphiretrackd/src/dispatch/once.rs
+++ b/crates/sapphiretrackd/src/dispatch/once.rs
@@ -11,7 +11,7 @@
     Claim, ClaimDecision, ClaimState, NonIdempotentRule, Outcome, RecordedAnswer, RecordedBody,
     Refusal, RefusalCode, Repeatable, decide_claim, hash_parts,
 };
-use sapphiretrack_platform::{ClaimWritten, PlatformError};
+use sapphiretrack_platform::{ClaimWriteResult, PlatformError};
 
 use crate::clock::wall_clock_ms;
 use crate::dispatch::claimed::{AtMostOnce, ClaimOutcome, ClaimRow, HeldClaim};
@@ -192,8 +192,12 @@
             }),
         };
         match self.claims.write(&customer, &key, &claim).await {
-            Ok(ClaimWritten::Ours { row_version }) => Ok(ClaimOutcome::Held(held(row_version))),
-            Ok(ClaimWritten::Found(found)) => self.resolve_existing_claim(&found, &claim).await,
+            Ok(ClaimWriteResult::Acquired { row_version }) => {
+                Ok(ClaimOutcome::Held(held(row_version)))
+            }
+            Ok(ClaimWriteResult::Existing(found)) => {
+                self.resolve_existing_claim(&found, &claim).await
+            }
             Err(error) => {
                 if !error.is_without_effect() {
                     // The write may still take effect, but nothing is sent under this claim.
--- a/crates/sapphiretrackd/src/dispatch/service.rs
+++ b/crates/sapphiretrackd/src/dispatch/service.rs
@@ -87,7 +87,7 @@
 
     /// Sends the call once and waits for its reply until `limit`.
     ///
-    /// Returns [`BackendError::Late`] if there is no reply by then.
+    /// Returns [`BackendError::TimedOut`] if there is no reply by then.
     pub(crate) async fn attempt(
         &mut self,
         slot: &Slot,
@@ -104,7 +104,7 @@
         let sent = self.dispatcher.backend.service(slot.address, &attempt);
         let reply = match tokio::time::timeout_at(limit.into(), sent).await {
             Ok(reply) => reply,
-            Err(_) => Err(BackendError::Late),
+            Err(_) => Err(BackendError::TimedOut),
         };
         if reply.is_ok() {
             self.dispatcher.record_attempt_success(slot);
@@ -135,7 +135,7 @@
             let slot = self.reserve_slot().await?;
             match self.attempt(&slot, self.deadline()).await {
                 Ok(reply) => return Ok(reply),
-                Err(BackendError::Late) => {
+                Err(BackendError::TimedOut) => {
                     self.dispatcher.record_deadline_exceeded(self.request);
                     let message = "the deadline of the class passed";
                     return Err(self.log.refusal(RefusalCode::DeadlinePassed, message));
--- a/crates/sapphiretrackd/src/dispatch/slots.rs
+++ b/crates/sapphiretrackd/src/dispatch/slots.rs
@@ -217,7 +217,7 @@
     ) -> Result<(), SlotRefusal> {
         let reservation = request.reservation;
         let reply = self.peers.reserve(address, request, pool_load).await;
-        if reply.as_ref().is_err_and(PeerError::is_refused) {
+        if reply.as_ref().is_err_and(PeerError::is_connection_refused) {
             self.control
                 .send(Command::StewardConnectionRefused { address });
         }
--- a/crates/sapphiretrackd/src/hand_over.rs
+++ b/crates/sapphiretrackd/src/hand_over.rs
@@ -6,7 +6,7 @@
 
 use futures::StreamExt;
 use sapphiretrack_core::{ChatKey, VmState, WarmHint, WarmList};
-use sapphiretrack_peer::{MAX_HANDED_CHATS, PeerClient};
+use sapphiretrack_peer::{MAX_HAND_OVER_CHATS, PeerClient};
 
 use crate::control::ControlHandle;
 use crate::events::Event;
@@ -70,7 +70,7 @@
     address: SocketAddr,
     chats: &[(ChatKey, WarmHint)],
 ) -> bool {
-    for part in chats.chunks(MAX_HANDED_CHATS) {
+    for part in chats.chunks(MAX_HAND_OVER_CHATS) {
         let list = WarmList::new(part.iter().copied());
         if peers.hand_over(address, list).await.is_err() {
             return false;
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -279,7 +279,7 @@
                 ask,
             } => {
                 let reply = self.peers.lease_budget(address, ask).await;
-                if reply.as_ref().is_err_and(PeerError::is_refused) {
+                if reply.as_ref().is_err_and(PeerError::is_connection_refused) {
                     self.control
                         .send(Command::StewardConnectionRefused { address });
                 }
--- a/crates/sapphiretrackd/src/operations.rs
+++ b/crates/sapphiretrackd/src/operations.rs
@@ -222,7 +222,7 @@
     /// since a later snapshot replaces this one.
     fn spawn_snapshot_write(&self, config: Arc<FleetConfig>) {
         let store = self.store.clone();
-        tokio::spawn(async move { drop(store.keep_snapshot(&config).await) });
+        tokio::spawn(async move { drop(store.write_snapshot_if_due(&config).await) });
     }
 }
 
--- a/crates/sapphiretrackd/src/parts.rs
+++ b/crates/sapphiretrackd/src/parts.rs
@@ -11,7 +11,7 @@
 use sapphiretrack_operator::OperatorHandlers;
 use sapphiretrack_operator::wire::StopReply;
 use sapphiretrack_peer::{
-    MAX_HANDED_CHATS, PeerClient, PeerHandlers, PeerReply, PeerRequest, SigningKey,
+    MAX_HAND_OVER_CHATS, PeerClient, PeerHandlers, PeerReply, PeerRequest, SigningKey,
 };
 use sapphiretrack_platform::{
     ClaimStore, ConfigurationStore, GoalStore, PlatformClient, WarmStore,
@@ -96,9 +96,9 @@
                 Box::pin(async move {
                     match request {
                         PeerRequest::HandOver(mut list) => {
-                            list.chats.truncate(MAX_HANDED_CHATS);
+                            list.chats.truncate(MAX_HAND_OVER_CHATS);
                             let chats = memory.merge(&list, 0) as u32;
-                            PeerReply::TakenOver { chats }
+                            PeerReply::HandedOver { chats }
                         }
                         request => control.handle_peer_request(request).await,
                     }
