--- a/crates/sapphiretrack-bench/src/demo/tally.rs
+++ b/crates/sapphiretrack-bench/src/demo/tally.rs
@@ -3,7 +3,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sapphiretrack_caller::{ClientError, ReadAnswer};
+use sapphiretrack_caller::{ClientError, ReceivedAnswer};
 use sapphiretrack_fakes::RunCount;
 
 use crate::demo::sample::Skew;
@@ -34,7 +34,7 @@
     /// `seen_tokens` is the number of its prompt tokens that an engine has computed before.
     pub(crate) fn record_complete(
         &self,
-        answer: &ReadAnswer,
+        answer: &ReceivedAnswer,
         correct: bool,
         on_time: bool,
         seen_tokens: u32,
@@ -53,7 +53,7 @@
     }
 
     /// Records an answer without a result: a request that was not run, or one that may have run.
-    pub(crate) fn record_refusal(&self, answer: &ReadAnswer) {
+    pub(crate) fn record_refusal(&self, answer: &ReceivedAnswer) {
         let mut counts = self.lock();
         if answer.outcome == "not-run" {
             counts.refused += 1;
--- a/crates/sapphiretrack-bench/src/load/request.rs
+++ b/crates/sapphiretrack-bench/src/load/request.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sapphiretrack_caller::{ClientError, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{ClientError, ReceivedAnswer, RequestOptions};
 use sapphiretrack_fakes::messages_hash;
 use serde_json::json;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -190,7 +190,7 @@
         AttemptResult::of(&reply)
     }
 
-    fn record_chat(&self, answer: &ReadAnswer, chat: u64, turn: u32, times: &TokenTimes) {
+    fn record_chat(&self, answer: &ReceivedAnswer, chat: u64, turn: u32, times: &TokenTimes) {
         if let Some(warm) = &answer.warm {
             lock(&self.shared.warm).insert(chat, warm.clone());
         }
@@ -291,7 +291,7 @@
         }
     }
 
-    fn of(reply: &Result<ReadAnswer, ClientError>) -> Self {
+    fn of(reply: &Result<ReceivedAnswer, ClientError>) -> Self {
         let answer = match reply {
             Ok(answer) => answer,
             Err(ClientError::Unreachable { .. }) => return Self::new(AttemptOutcome::Unreachable),
--- a/crates/sapphiretrack-tests/tests/configuration.rs
+++ b/crates/sapphiretrack-tests/tests/configuration.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_fakes::PlatformFaults;
 use sapphiretrack_operator::OperatorClient;
 use sapphiretrack_operator::wire::{ApplyContract, ChangeReply};
@@ -14,7 +14,7 @@
     CALLER_KEY, ChildProcess, Fleet, FleetSettings, OPERATOR_KEY, contract_toml, post_json,
 };
 
-async fn chat(url: &str) -> ReadAnswer {
+async fn chat(url: &str) -> ReceivedAnswer {
     let options = RequestOptions {
         key: CALLER_KEY.to_owned(),
         workspace: Some(String::from("tempering")),
--- a/crates/sapphiretrack-tests/tests/kill_points.rs
+++ b/crates/sapphiretrack-tests/tests/kill_points.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use http::Method;
-use sapphiretrack_caller::{CallerClient, ClientError, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ClientError, ReceivedAnswer, RequestOptions};
 use sapphiretrack_fakes::{PlatformCalls, PlatformFaults, RunCount, ServiceFaults};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml, get_json, get_text};
 
@@ -52,7 +52,7 @@
     }
 
     /// Sends the order, and repeats that while there is no capacity yet.
-    async fn send(&self, router: usize) -> Result<ReadAnswer, ClientError> {
+    async fn send(&self, router: usize) -> Result<ReceivedAnswer, ClientError> {
         send(self.fleet.caller_url(router), &self.key, &self.body).await
     }
 
@@ -142,7 +142,7 @@
     }
 }
 
-async fn send(url: String, key: &str, body: &str) -> Result<ReadAnswer, ClientError> {
+async fn send(url: String, key: &str, body: &str) -> Result<ReceivedAnswer, ClientError> {
     let options = RequestOptions {
         key: CALLER_KEY.to_owned(),
         idempotency_key: Some(key.to_owned()),
@@ -162,7 +162,7 @@
     }
 }
 
-fn outcome_and_code(answer: &ReadAnswer) -> (&str, &str) {
+fn outcome_and_code(answer: &ReceivedAnswer) -> (&str, &str) {
     let code = answer.error.as_ref().map_or("", |body| &body.error.code);
     (&answer.outcome, code)
 }
--- a/crates/sapphiretrack-tests/tests/membership.rs
+++ b/crates/sapphiretrack-tests/tests/membership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_core::{VmRole, VmState};
 use sapphiretrack_fakes::{EngineFaults, PlatformFaults};
 use sapphiretrack_platform::wire::VmList;
@@ -34,7 +34,7 @@
     Bytes::from(body.to_string())
 }
 
-async fn chat(url: &str, name: &str) -> ReadAnswer {
+async fn chat(url: &str, name: &str) -> ReceivedAnswer {
     let answer = CallerClient::new()
         .chat(url, chat_body(4), &options(name), |_| {})
         .await;
--- a/crates/sapphiretrack-tests/tests/outcome_history/requests.rs
+++ b/crates/sapphiretrack-tests/tests/outcome_history/requests.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sapphiretrack_caller::{CallerClient, ClientError, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ClientError, ReceivedAnswer, RequestOptions};
 use sapphiretrack_fakes::expected_answer;
 use sapphiretrack_tests::CALLER_KEY;
 
@@ -26,7 +26,7 @@
 /// The result of one try, as its caller saw it.
 #[derive(Clone, Debug)]
 pub(crate) enum TryResult {
-    Answer(ReadAnswer),
+    Answer(ReceivedAnswer),
     Unreachable,
     /// The router at this URL closed the connection before the answer was complete.
     Broken(String),
@@ -186,7 +186,7 @@
         violations
     }
 
-    pub(crate) fn check_answer(&self, answer: &ReadAnswer) -> Option<String> {
+    pub(crate) fn check_answer(&self, answer: &ReceivedAnswer) -> Option<String> {
         let complete = answer.outcome == "complete";
         let is_correct = match self.kind {
             RequestKind::Label | RequestKind::Lookup => {
--- a/crates/sapphiretrack-tests/tests/outcomes.rs
+++ b/crates/sapphiretrack-tests/tests/outcomes.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::Method;
-use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_core::PoolKind;
 use sapphiretrack_fakes::{EngineFaults, PlatformFaults, ServiceFaults};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml, get_text};
@@ -32,7 +32,7 @@
 
 /// Sends an order, and repeats that while there is no capacity: the slots of a server that has just
 /// joined, or that are handed over to another router, are not available yet.
-async fn order(url: &str, path: &str, body: &'static str, key: &str) -> ReadAnswer {
+async fn order(url: &str, path: &str, body: &'static str, key: &str) -> ReceivedAnswer {
     let (client, options) = (CallerClient::new(), options(Some(key)));
     loop {
         let body = Bytes::from_static(body.as_bytes());
@@ -45,7 +45,7 @@
 }
 
 /// Sends a chat, and repeats that like [`order`].
-async fn chat(url: &str, body: Bytes, key: Option<&str>) -> ReadAnswer {
+async fn chat(url: &str, body: Bytes, key: Option<&str>) -> ReceivedAnswer {
     let (client, options) = (CallerClient::new(), options(key));
     loop {
         let answer = client.chat(url, body.clone(), &options, |_| {});
@@ -57,7 +57,7 @@
 }
 
 /// Whether the request was refused for lack of capacity; waits a moment if so.
-async fn wait_if_overloaded(answer: &ReadAnswer) -> bool {
+async fn wait_if_overloaded(answer: &ReceivedAnswer) -> bool {
     let full = outcome_and_code(answer) == ("not-run", "overloaded");
     if full {
         assert!(answer.retry_after_s.is_some(), "{answer:?}");
@@ -67,13 +67,13 @@
 }
 
 /// The outcome, and the code of the error or an empty string.
-fn outcome_and_code(answer: &ReadAnswer) -> (&str, &str) {
+fn outcome_and_code(answer: &ReceivedAnswer) -> (&str, &str) {
     let code = answer.error.as_ref().map_or("", |body| &body.error.code);
     (&answer.outcome, code)
 }
 
 /// Repeats an order until it is complete; each other answer must allow a repeat.
-async fn repeat_until_complete(url: &str, body: &'static str, key: &str) -> ReadAnswer {
+async fn repeat_until_complete(url: &str, body: &'static str, key: &str) -> ReceivedAnswer {
     let waited = tokio::time::timeout(Duration::from_secs(60), async {
         loop {
             let answer = order(url, PRINT, body, key).await;
--- a/crates/sapphiretrack-tests/tests/paused_budget.rs
+++ b/crates/sapphiretrack-tests/tests/paused_budget.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_core::{
     EMERGENCY_SHARE, HELD_SHARE, RouterId, ServerId, UNSURE_SHARE, hash_parts, steward_of,
 };
@@ -11,7 +11,7 @@
 
 const CUSTOMER: &str = "teranga";
 
-async fn chat(url: String) -> ReadAnswer {
+async fn chat(url: String) -> ReceivedAnswer {
     let options = RequestOptions {
         key: CALLER_KEY.to_owned(),
         workspace: Some(String::from("tempering")),
--- a/crates/sapphiretrack-tests/tests/steward_changes.rs
+++ b/crates/sapphiretrack-tests/tests/steward_changes.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml};
 
 /// Enough to cover the change of the steward and the time after it.
 const CHATS: usize = 40;
 
-async fn chat(url: &str) -> ReadAnswer {
+async fn chat(url: &str) -> ReceivedAnswer {
     let body = Bytes::from_static(
         b"{\"model\":\"assistant\",\"stream\":true,\"max_tokens\":1,\
           \"messages\":[{\"role\":\"user\",\"content\":\"how warm is the mill\"}]}",
--- a/crates/sapphiretrack-tests/tests/thin_path.rs
+++ b/crates/sapphiretrack-tests/tests/thin_path.rs
@@ -2,7 +2,7 @@
 //! the command-line tool.
 
 use bytes::Bytes;
-use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_tests::{
     CALLER_KEY, ChildProcess, Fleet, FleetSettings, OPERATOR_KEY, contract_toml,
 };
@@ -28,14 +28,14 @@
     Bytes::from(body.to_string())
 }
 
-async fn chat(fleet: &Fleet, router: usize, stream: bool, name: &str) -> ReadAnswer {
+async fn chat(fleet: &Fleet, router: usize, stream: bool, name: &str) -> ReceivedAnswer {
     let url = fleet.caller_url(router);
     let (client, options) = (CallerClient::new(), options(name));
     let answer = client.chat(&url, chat_body(stream), &options, |_| {}).await;
     answer.expect("the router answers")
 }
 
-fn word_count(answer: &ReadAnswer) -> usize {
+fn word_count(answer: &ReceivedAnswer) -> usize {
     answer.body.split_whitespace().count()
 }
 
--- a/crates/sapphiretrack-tests/tests/warm_memory.rs
+++ b/crates/sapphiretrack-tests/tests/warm_memory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sapphiretrack_caller::{CallerClient, ReadAnswer, RequestOptions};
+use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_core::{RouterId, ServerId};
 use sapphiretrack_platform::{PlatformClient, Settings, WarmPart, WarmStore};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml};
@@ -15,14 +15,14 @@
     [(WarmPart::Base, "base"), (WarmPart::Recent, "recent")];
 
 /// Sends a chat that must be answered completely.
-async fn chat(url: &str, name: &str, warm: Option<String>) -> ReadAnswer {
+async fn chat(url: &str, name: &str, warm: Option<String>) -> ReceivedAnswer {
     let answer = try_chat(url, name, warm).await;
     assert_eq!(answer.outcome, "complete", "{answer:?}");
     answer
 }
 
 /// Sends a chat.
-async fn try_chat(url: &str, name: &str, warm: Option<String>) -> ReadAnswer {
+async fn try_chat(url: &str, name: &str, warm: Option<String>) -> ReceivedAnswer {
     let body = serde_json::json!({
         "model": "assistant",
         "stream": true,
--- a/crates/sapphiretrackd/src/dispatch/chat.rs
+++ b/crates/sapphiretrackd/src/dispatch/chat.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use sapphiretrack_backend::{AnswerStream, BackendError, ChatAttempt, Piece};
-use sapphiretrack_caller::{Answer, CallerRequest, ChatCall, StreamEvent, Target, WholeAnswer};
+use sapphiretrack_caller::{Answer, BufferedAnswer, CallerRequest, ChatCall, StreamEvent, Target};
 use sapphiretrack_core::{
     AttemptLog, Candidate, ChatKey, Chunk, ChunkChoice, Delta, Outcome, PlacementRequest,
     RecordedAnswer, Refusal, RefusalCode, Repeatable, Usage, WarmHint, first_token_timeout_ms,
@@ -98,7 +98,7 @@
         warm: String,
     },
     /// The request ran before; this is its recorded answer.
-    Recorded(WholeAnswer),
+    Recorded(BufferedAnswer),
     /// The request is refused.
     Refused(Refusal),
 }
@@ -203,7 +203,7 @@
     /// Claims a non-idempotent request before its first attempt.
     ///
     /// Returns the recorded answer if the request ran before.
-    async fn claim(&mut self) -> Result<Option<WholeAnswer>, Refusal> {
+    async fn claim(&mut self) -> Result<Option<BufferedAnswer>, Refusal> {
         let (Some(at_most_once), None) = (&self.at_most_once, &self.held_claim) else {
             return Ok(None);
         };
--- a/crates/sapphiretrackd/src/dispatch/claimed.rs
+++ b/crates/sapphiretrackd/src/dispatch/claimed.rs
@@ -1,6 +1,6 @@
 //! Claims of non-idempotent requests.
 
-use sapphiretrack_caller::{RequestToken, WholeAnswer};
+use sapphiretrack_caller::{BufferedAnswer, RequestGuard};
 use sapphiretrack_core::Claim;
 
 /// Marks a request that must run at most once.
@@ -14,14 +14,14 @@
     /// The request may be sent under this claim.
     Held(HeldClaim),
     /// The request ran before; this is its recorded answer.
-    Recorded(WholeAnswer),
+    Recorded(BufferedAnswer),
 }
 
 /// A claim that this router holds; without a row if the request has no key.
 #[derive(Clone)]
 pub(crate) struct HeldClaim {
     pub(super) customer: String,
-    pub(super) token: RequestToken,
+    pub(super) guard: RequestGuard,
     pub(super) row: Option<ClaimRow>,
 }
 
--- a/crates/sapphiretrackd/src/dispatch/once.rs
+++ b/crates/sapphiretrackd/src/dispatch/once.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use sapphiretrack_backend::ServiceReply;
-use sapphiretrack_caller::{Answer, CallerRequest, Target, WholeAnswer};
+use sapphiretrack_caller::{Answer, BufferedAnswer, CallerRequest, Target};
 use sapphiretrack_core::{
     Claim, ClaimDecision, ClaimState, NonIdempotentRule, Outcome, RecordedAnswer, RecordedBody,
     Refusal, RefusalCode, Repeatable, decide_claim, hash_parts,
@@ -127,7 +127,7 @@
         let mut slot = run.reserve_slot().await?;
         let held = match self.acquire_claim(request, at_most_once).await? {
             ClaimOutcome::Held(held) => held,
-            ClaimOutcome::Recorded(answer) => return Ok(Answer::Whole(answer)),
+            ClaimOutcome::Recorded(answer) => return Ok(Answer::Buffered(answer)),
         };
         if !gate.mark_sent() {
             self.withdraw(&held);
@@ -172,7 +172,7 @@
         let Some(key) = at_most_once.idempotency_key.clone() else {
             return Ok(ClaimOutcome::Held(HeldClaim {
                 customer,
-                token: request.token.clone(),
+                guard: request.guard.clone(),
                 row: None,
             }));
         };
@@ -184,7 +184,7 @@
         };
         let held = |row_version| HeldClaim {
             customer: customer.clone(),
-            token: request.token.clone(),
+            guard: request.guard.clone(),
             row: Some(ClaimRow {
                 key: key.clone(),
                 row_version,
@@ -214,7 +214,7 @@
         let dispatcher = self.clone();
         let HeldClaim {
             customer,
-            token,
+            guard,
             row,
         } = held.clone();
         let Some(row) = row else { return };
@@ -229,7 +229,7 @@
                 tokio::time::sleep(wait).await;
                 wait *= 2;
             }
-            drop(token);
+            drop(guard);
         });
     }
 
@@ -244,7 +244,7 @@
         let dispatcher = self.clone();
         let HeldClaim {
             customer,
-            token,
+            guard,
             row,
         } = held.clone();
         let Some(row) = row else { return };
@@ -260,7 +260,7 @@
                 tokio::time::sleep(wait).await;
                 wait *= 2;
             }
-            drop(token);
+            drop(guard);
         });
         drop(tokio::time::timeout(RECORD_WAIT, task).await);
     }
@@ -312,7 +312,7 @@
         }
     }
 
-    async fn replay(&self, answer: RecordedAnswer) -> Result<WholeAnswer, Refusal> {
+    async fn replay(&self, answer: RecordedAnswer) -> Result<BufferedAnswer, Refusal> {
         let body = match answer.body {
             RecordedBody::Text(text) => text.into(),
             RecordedBody::Object(name) => match self.claims.get_body(&name).await {
@@ -323,7 +323,7 @@
                 }
             },
         };
-        Ok(WholeAnswer {
+        Ok(BufferedAnswer {
             status: answer.status,
             content_type: answer.content_type,
             body,
--- a/crates/sapphiretrackd/src/dispatch/service.rs
+++ b/crates/sapphiretrackd/src/dispatch/service.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use sapphiretrack_backend::{BackendError, ServiceAttempt, ServiceReply};
-use sapphiretrack_caller::{Answer, CallerRequest, ServiceCall, Target, WholeAnswer};
+use sapphiretrack_caller::{Answer, BufferedAnswer, CallerRequest, ServiceCall, Target};
 use sapphiretrack_core::{
     AttemptLog, Candidate, PlacementRequest, Refusal, RefusalCode, Repeatable, rank_servers,
 };
@@ -34,7 +34,7 @@
 
 /// Converts the reply of a service into the answer for the caller.
 pub(crate) fn into_answer(reply: ServiceReply) -> Answer {
-    Answer::Whole(WholeAnswer {
+    Answer::Buffered(BufferedAnswer {
         status: reply.status,
         content_type: reply.content_type,
         body: reply.body,
--- a/crates/sapphiretrackd/src/dispatch/whole.rs
+++ b/crates/sapphiretrackd/src/dispatch/whole.rs
@@ -1,6 +1,6 @@
 //! Chat answers as one JSON object: assembled from a stream, or replayed as one.
 
-use sapphiretrack_caller::{Answer, StreamEvent, WholeAnswer};
+use sapphiretrack_caller::{Answer, BufferedAnswer, StreamEvent};
 use sapphiretrack_core::{Chunk, ChunkChoice, Delta, Refusal, RefusalCode, Usage};
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
@@ -111,7 +111,7 @@
             }
         }
     }
-    Answer::Whole(WholeAnswer {
+    Answer::Buffered(BufferedAnswer {
         status: 200,
         content_type: String::from("application/json"),
         body: completion.to_json().into(),
@@ -120,9 +120,9 @@
 }
 
 /// Returns a recorded chat answer in the form that the caller requested.
-pub(crate) fn replay_completion(recorded: WholeAnswer, wants_stream: bool) -> Answer {
+pub(crate) fn replay_completion(recorded: BufferedAnswer, wants_stream: bool) -> Answer {
     if !wants_stream {
-        return Answer::Whole(recorded);
+        return Answer::Buffered(recorded);
     }
     let completion: ChatCompletion = match serde_json::from_slice(&recorded.body) {
         Ok(completion) => completion,
--- a/crates/sapphiretrackd/src/operations.rs
+++ b/crates/sapphiretrackd/src/operations.rs
@@ -7,8 +7,8 @@
     Change, FleetConfig, ServerView, VmState, check_change_id, check_server_name, parse_contract,
 };
 use sapphiretrack_operator::wire::{
-    ApplyContract, ChangeReply, DrainServer, HistoryLine, RouterLine, ServerLine, ShowContract,
-    ShownContract, Status,
+    ApplyContract, ChangeReply, ContractQuery, ContractReply, DrainServer, HistoryLine,
+    RouterStatus, ServerStatus, Status,
 };
 use sapphiretrack_platform::{ApplyError, ChangeOutcome, ConfigurationStore, KnownConfig};
 
@@ -88,7 +88,7 @@
     }
 
     /// Returns a customer's contract, in its current or a given version.
-    pub(crate) async fn show(&self, show: &ShowContract) -> Result<Option<ShownContract>, String> {
+    pub(crate) async fn show(&self, show: &ContractQuery) -> Result<Option<ContractReply>, String> {
         let customer = show.customer.as_str();
         let found = match show.version {
             Some(version) => self.store.contract_at(customer, version).await,
@@ -99,7 +99,7 @@
         };
         let contract_toml =
             toml::to_string_pretty(contract.as_ref()).map_err(|error| error.to_string())?;
-        Ok(Some(ShownContract {
+        Ok(Some(ContractReply {
             version,
             contract_toml,
         }))
@@ -265,8 +265,8 @@
     }
 }
 
-fn router_lines(snapshot: &Snapshot) -> Vec<RouterLine> {
-    let lines = snapshot.routers.iter().map(|router| RouterLine {
+fn router_lines(snapshot: &Snapshot) -> Vec<RouterStatus> {
+    let lines = snapshot.routers.iter().map(|router| RouterStatus {
         name: router.name.clone(),
         zone: router.zone.clone(),
         state: state_text(router.state),
@@ -277,7 +277,7 @@
     lines.collect()
 }
 
-fn server_lines(snapshot: &Snapshot) -> Vec<ServerLine> {
+fn server_lines(snapshot: &Snapshot) -> Vec<ServerStatus> {
     let steward_name = |server: &ServerView| {
         let steward = snapshot
             .routers
@@ -286,7 +286,7 @@
         steward.map_or_else(String::new, |router| router.name.clone())
     };
     let lines = snapshot.pools.values().flat_map(|pool| {
-        pool.servers.iter().map(|server| ServerLine {
+        pool.servers.iter().map(|server| ServerStatus {
             name: server.name.clone(),
             zone: server.zone.clone(),
             pool: pool.name.clone(),
--- a/crates/sapphiretrackd/src/parts.rs
+++ b/crates/sapphiretrackd/src/parts.rs
@@ -6,7 +6,7 @@
 use dropshot::HttpServer;
 use futures::future::BoxFuture;
 use sapphiretrack_backend::BackendClient;
-use sapphiretrack_caller::{CallerHandlers, CallerServer, RequestToken};
+use sapphiretrack_caller::{CallerHandlers, CallerServer, RequestGuard};
 use sapphiretrack_core::{Contract, PlacementSettings, Refusal, RefusalCode, RouterId, sha256_hex};
 use sapphiretrack_operator::OperatorHandlers;
 use sapphiretrack_operator::wire::StopReply;
@@ -195,12 +195,14 @@
                 )
             }),
             is_stopping: Arc::new(move || stopping.has_begun()),
-            begin: Arc::new(move || RequestToken::new(InFlightGuard::new(&in_flight_metrics))),
+            track_request: Arc::new(move || {
+                RequestGuard::new(InFlightGuard::new(&in_flight_metrics))
+            }),
             run: Arc::new(move |request| {
                 arrivals.record_arrival();
                 dispatcher.run(request)
             }),
-            refused: Arc::new(move |refusal| metrics.count_refusal(refusal.code)),
+            on_refusal: Arc::new(move |refusal| metrics.count_refusal(refusal.code)),
         }
     }
 
