--- a/crates/sapphiretrack-bench/src/limits.rs
+++ b/crates/sapphiretrack-bench/src/limits.rs
@@ -11,7 +11,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sapphiretrack_core::{
-    Admission, BudgetAsk, CustomerBudget, EmergencyPart, HeldBudget, Limits, RateLimiter, RouterId,
+    Admission, BudgetRequest, CustomerBudget, EmergencyPart, HeldBudget, Limits, RateLimiter,
+    RouterId,
 };
 
 pub use self::tables::run;
@@ -110,7 +111,7 @@
     pub worst_excess: f64,
     /// The largest number of requests in flight above the limit.
     pub worst_in_flight_excess: u32,
-    /// Requests of limiters to the steward ([`BudgetAsk`]).
+    /// Requests of limiters to the steward ([`BudgetRequest`]).
     pub asks: u64,
     /// Their encoded size in bytes.
     pub ask_bytes: u64,
@@ -129,7 +130,7 @@
 }
 
 impl LimitsResult {
-    fn record_ask(&mut self, ask: &BudgetAsk) {
+    fn record_ask(&mut self, ask: &BudgetRequest) {
         self.asks += 1;
         self.ask_bytes += bincode::serialized_size(ask).unwrap_or_default();
     }
@@ -299,12 +300,14 @@
         let Some(ask) = ask else { return };
         if is_steward_unreachable(run, index, now_ms) {
             let part = EmergencyPart::new(limiter.id, &self.ids, CUSTOMER);
-            return limiter.held.no_steward(part, &self.limits, local_ms);
+            return limiter
+                .held
+                .mark_steward_unreachable(part, &self.limits, local_ms);
         }
         self.result.record_ask(&ask);
         let grant = self.steward.answer(&ask, &self.limits, 1.0, now_ms);
-        limiter.held.answered_by(self.steward_id);
-        let _no_waiting_request = limiter.held.take_grant(&grant, 0.0, local_ms, local_ms);
+        limiter.held.record_steward(self.steward_id);
+        let _no_waiting_request = limiter.held.apply_grant(&grant, 0.0, local_ms, local_ms);
     }
 
     fn handle_arrival(&mut self, run: &LimitsRun, now_ms: u64) {
@@ -323,7 +326,9 @@
             Admission::Refused(_) => false,
             Admission::Ask if is_steward_unreachable(run, index, now_ms) => {
                 let part = EmergencyPart::new(limiter.id, &self.ids, CUSTOMER);
-                limiter.held.no_steward(part, &self.limits, local_ms);
+                limiter
+                    .held
+                    .mark_steward_unreachable(part, &self.limits, local_ms);
                 let admission = limiter.held.try_admit(tokens, &self.limits, local_ms);
                 admission == Admission::Admitted
             }
@@ -331,8 +336,8 @@
                 let ask = limiter.held.ask(limiter.id, CUSTOMER, Some(tokens));
                 self.result.record_ask(&ask);
                 let grant = self.steward.answer(&ask, &self.limits, 1.0, now_ms);
-                limiter.held.answered_by(self.steward_id);
-                let taken = limiter.held.take_grant(&grant, tokens, local_ms, local_ms);
+                limiter.held.record_steward(self.steward_id);
+                let taken = limiter.held.apply_grant(&grant, tokens, local_ms, local_ms);
                 taken.is_ok()
             }
         };
--- a/crates/sapphiretrack-bench/src/policy/router/load.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/load.rs
@@ -1,7 +1,7 @@
 //! The load of the pool as a simulated router knows it.
 
 use sapphiretrack_core::{
-    LoadReport, PoolLoad, RouterId, SeenLoad, SentTokens, backlog_tokens, pool_load, server_limit,
+    LoadReport, PoolLoad, RouterId, RouterLoad, SentTokens, backlog_tokens, pool_load, server_limit,
 };
 
 use super::Router;
@@ -47,7 +47,7 @@
             .iter()
             .zip(&self.peers)
             .filter(|(id, _)| **id != self.id);
-        let seen = others.map(|(_, peer)| SeenLoad {
+        let seen = others.map(|(_, peer)| RouterLoad {
             in_flight: peer.pool_in_flight,
             age_ms: now_ms.saturating_sub(peer.pool_load_at_ms),
         });
--- a/crates/sapphiretrack-bench/src/policy/router/mod.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/mod.rs
@@ -10,8 +10,8 @@
 use sapphiretrack_core::{
     AskMemory, AskSettings, Candidate, CellView, ChatKey, ConsentSettings, DrainSettings, Ledger,
     LedgerSettings, LoadReport, PlacementMemory, PlacementRequest, PlacementSettings, PoolKind,
-    PoolView, ReservationId, RouterId, ServerId, ServerView, StewardNames, ToldLoad, VmState,
-    WarmHint, WorkspaceKey, WorkspaceShares, rank_servers, steward_of,
+    PoolView, RequesterLoad, ReservationId, RouterId, ServerId, ServerView, StewardConsents,
+    VmState, WarmHint, WorkspaceKey, WorkspaceShares, rank_servers, steward_of,
 };
 
 use super::trace::Turn;
@@ -28,7 +28,7 @@
     servers: Vec<ServerId>,
     placement: PlacementSettings,
     drain: DrainSettings,
-    steward_consents: StewardNames,
+    steward_consents: StewardConsents,
     steward_backoff: AskMemory,
     ledger: Ledger,
     pub(super) memory: PlacementMemory,
@@ -54,7 +54,7 @@
     /// Prompt tokens that the server is expected to prefill.
     pub(crate) uncached_tokens: u32,
     /// The load that is sent to a steward with a repeated slot request.
-    pub(crate) known_load: Option<ToldLoad>,
+    pub(crate) known_load: Option<RequesterLoad>,
 }
 
 /// Converts ranked candidates into attempts, with servers as indices into `servers`.
@@ -108,7 +108,7 @@
             servers: servers.to_vec(),
             placement,
             drain: DrainSettings::default(),
-            steward_consents: StewardNames::new(consent),
+            steward_consents: StewardConsents::new(consent),
             steward_backoff: AskMemory::new(AskSettings::default()),
             ledger: Ledger::new(router_ids[index], LedgerSettings::default()),
             memory: PlacementMemory::new(MEMORY_CHATS),
@@ -209,11 +209,11 @@
             ended: &[],
         };
         self.ledger.set_view(&view, now_ms);
-        let may_consent = self.ledger.sees_cell();
+        let may_consent = self.ledger.sees_majority();
         for server in &self.servers {
             if let Some(steward) = steward_of(*server, &live) {
                 self.steward_consents
-                    .want(*server, steward, may_consent, now_ms);
+                    .set_wanted(*server, steward, may_consent, now_ms);
             }
         }
     }
--- a/crates/sapphiretrack-bench/src/policy/router/slots.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/slots.rs
@@ -1,7 +1,7 @@
 //! Slot requests to stewards, and the decisions of a router as steward.
 
 use sapphiretrack_core::{
-    FullServer, Grant, ReservationId, ReserveRequest, RouterId, ServerId, ToldLoad, ask_again,
+    FullServer, Grant, RequesterLoad, ReservationId, ReserveRequest, RouterId, ServerId, ask_again,
 };
 
 use super::{Attempt, Reservation, Router};
@@ -14,7 +14,7 @@
         full: FullServer,
         share: f64,
         now_ms: u64,
-    ) -> Option<ToldLoad> {
+    ) -> Option<RequesterLoad> {
         let load = self.pool_load(now_ms);
         ask_again(&self.placement.bound, &load, share, full)
     }
@@ -95,7 +95,7 @@
     pub(crate) fn reserve(
         &mut self,
         request: &ReserveRequest,
-        known_load: Option<ToldLoad>,
+        known_load: Option<RequesterLoad>,
         now_ms: u64,
     ) -> Grant {
         self.record_pool_load(request.router, u32::from(request.in_flight), now_ms);
@@ -107,7 +107,7 @@
         }
         let load = self
             .pool_load(now_ms)
-            .with_told(known_load.unwrap_or_default());
+            .with_requester_load(known_load.unwrap_or_default());
         let bound = self.placement.bound;
         self.ledger.reserve(request, &bound, &load, now_ms)
     }
--- a/crates/sapphiretrack-bench/tests/limits.rs
+++ b/crates/sapphiretrack-bench/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Limits shared by many limiters: admissions stay within the contract, also under faults.
 
 use sapphiretrack_bench::limits::{LimiterFault, LimitsResult, LimitsRun};
-use sapphiretrack_core::{EMERGENCY_MS, EMERGENCY_SHARE, HELD_SHARE, UNSURE_SHARE};
+use sapphiretrack_core::{EMERGENCY_MS, EMERGENCY_SHARE, HELD_SHARE, NEW_STEWARD_SHARE};
 
 /// The rounding error of a running sum of a million steps.
 const ROUNDING: f64 = 0.001;
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_new_steward_grants_a_share_of_the_slots_until_earlier_leases_have_expired() {
-    use sapphiretrack_core::{BUDGET_LEASE_MS, CustomerBudget, HeldBudget, Needed, RouterId};
+    use sapphiretrack_core::{BUDGET_LEASE_MS, CustomerBudget, HeldBudget, NeedDecision, RouterId};
     let mut limits = LimitsRun::new(1, 1.0, 1).limits;
     limits.in_flight = 60;
     let admitted_at = |now_ms| {
@@ -66,13 +66,13 @@
         for _ in 0..limits.in_flight * 2 {
             let ask = held.ask(RouterId(1), "customer", Some(1.0));
             let grant = steward.answer(&ask, &limits, 1.0, now_ms);
-            admitted += u32::from(grant.need == Needed::Admitted);
-            let taken = held.take_grant(&grant, 1.0, now_ms, now_ms);
-            assert_eq!(taken.is_ok(), grant.need == Needed::Admitted);
+            admitted += u32::from(grant.need == NeedDecision::Admitted);
+            let taken = held.apply_grant(&grant, 1.0, now_ms, now_ms);
+            assert_eq!(taken.is_ok(), grant.need == NeedDecision::Admitted);
         }
         admitted
     };
-    let new_steward_slots = (UNSURE_SHARE * f64::from(limits.in_flight)) as u32;
+    let new_steward_slots = (NEW_STEWARD_SHARE * f64::from(limits.in_flight)) as u32;
     assert_eq!(admitted_at(0), new_steward_slots);
     assert_eq!(admitted_at(BUDGET_LEASE_MS), limits.in_flight);
 }
@@ -80,13 +80,13 @@
 #[test]
 fn a_lease_that_is_not_renewed_expires_at_the_holder_before_it_does_at_the_steward() {
     use sapphiretrack_core::{
-        Admission, Amounts, BUDGET_LEASE_MS, BudgetGrant, HeldBudget, Needed,
+        Admission, Amounts, BUDGET_LEASE_MS, BudgetGrant, HeldBudget, NeedDecision,
     };
     let limits = LimitsRun::new(1, 1.0, 1).limits;
     let mut held = HeldBudget::new(0);
     assert_eq!(held.try_admit(1.0, &limits, 0), Admission::Ask);
     let grant = BudgetGrant {
-        need: Needed::Nothing,
+        need: NeedDecision::Nothing,
         added: Amounts {
             requests: 5.0,
             tokens: 500.0,
@@ -94,7 +94,7 @@
         slots: 5,
     };
     // The answer arrived 1 s after the request: the lease counts from the request.
-    held.take_grant(&grant, 0.0, 0, 1_000)
+    held.apply_grant(&grant, 0.0, 0, 1_000)
         .expect("no request waits");
     assert_eq!(held.try_admit(1.0, &limits, 1_001), Admission::Admitted);
     let before_forgotten_ms = BUDGET_LEASE_MS - 100;
@@ -104,19 +104,19 @@
 
 #[test]
 fn a_changed_contract_revokes_leased_budget_before_the_next_request() {
-    use sapphiretrack_core::{Admission, Amounts, BudgetGrant, HeldBudget, Needed};
+    use sapphiretrack_core::{Admission, Amounts, BudgetGrant, HeldBudget, NeedDecision};
     let mut limits = LimitsRun::new(1, 1.0, 1).limits;
     let mut held = HeldBudget::new(0);
     assert_eq!(held.try_admit(1.0, &limits, 0), Admission::Ask);
     let grant = BudgetGrant {
-        need: Needed::Nothing,
+        need: NeedDecision::Nothing,
         added: Amounts {
             requests: 5.0,
             tokens: 500.0,
         },
         slots: 5,
     };
-    held.take_grant(&grant, 0.0, 0, 0)
+    held.apply_grant(&grant, 0.0, 0, 0)
         .expect("no request waits");
     assert_eq!(held.try_admit(1.0, &limits, 1), Admission::Admitted);
     limits.requests_per_s /= 2.0;
@@ -207,7 +207,7 @@
         let admitted = (1..=routers).map(|router| {
             let part = EmergencyPart::new(RouterId(router), &ids, "customer");
             let mut held = HeldBudget::new(0);
-            held.no_steward(part, &limits, 0);
+            held.mark_steward_unreachable(part, &limits, 0);
             let admissions = (0..24).map(|_| held.try_admit(1.0, &limits, 0));
             admissions
                 .filter(|admission| *admission == Admission::Admitted)
@@ -235,7 +235,7 @@
 #[test]
 fn a_new_steward_without_state_exceeds_the_limits_by_no_more_than_its_initial_share() {
     let limits = LimitsRun::new(1, 1.0, 1).limits;
-    let bound = UNSURE_SHARE * limits.requests_per_s * limits.burst_s;
+    let bound = NEW_STEWARD_SHARE * limits.requests_per_s * limits.burst_s;
     let result = run_surge(vec![LimiterFault::NewSteward { at_ms: 7_000 }]);
     assert!(result.worst_excess <= bound, "{result:?}");
     assert_eq!(result.worst_in_flight_excess, 0, "{result:?}");
@@ -243,7 +243,7 @@
     tight.limits.in_flight = 60;
     tight.duration_ms = 20_000;
     tight.faults = vec![LimiterFault::NewSteward { at_ms: 7_000 }];
-    let new_steward_slots = (UNSURE_SHARE * f64::from(tight.limits.in_flight)) as u32;
+    let new_steward_slots = (NEW_STEWARD_SHARE * f64::from(tight.limits.in_flight)) as u32;
     let result = tight.run();
     assert!(
         result.worst_in_flight_excess <= new_steward_slots,
@@ -271,7 +271,7 @@
     let renew = |held: &mut HeldBudget, steward: &mut CustomerBudget, now_ms| {
         if let Some(ask) = held.end_period(RouterId(1), "customer", &limits, now_ms) {
             let grant = steward.answer(&ask, &limits, 1.0, now_ms);
-            held.take_grant(&grant, 0.0, now_ms, now_ms)
+            held.apply_grant(&grant, 0.0, now_ms, now_ms)
                 .expect("no request waits");
         }
     };
@@ -279,7 +279,7 @@
         if held.try_admit(10.0, &limits, 0) != Admission::Admitted {
             let ask = held.ask(RouterId(1), "customer", Some(10.0));
             let grant = steward.answer(&ask, &limits, 1.0, 0);
-            held.take_grant(&grant, 10.0, 0, 0)
+            held.apply_grant(&grant, 10.0, 0, 0)
                 .expect("the request is admitted");
         }
         held.leave();
--- a/crates/sapphiretrack-core/src/attempt.rs
+++ b/crates/sapphiretrack-core/src/attempt.rs
@@ -109,7 +109,7 @@
 
     /// Adapts a refusal to the current outcome. Once the request may have run, the code becomes
     /// [`RefusalCode::ServerFailed`], since other codes promise that nothing ran.
-    pub fn correct(&self, refusal: Refusal) -> Refusal {
+    pub fn adapt_refusal(&self, refusal: Refusal) -> Refusal {
         if self.outcome() == Outcome::NotRun {
             return refusal;
         }
--- a/crates/sapphiretrack-core/src/bound.rs
+++ b/crates/sapphiretrack-core/src/bound.rs
@@ -43,7 +43,7 @@
 
 /// A pool's load as known to the router that requests a slot; the steward's counts may be older.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ToldLoad {
+pub struct RequesterLoad {
     /// Lower bound of the requests in flight on the pool.
     pub least_in_flight: u32,
     /// Number of live servers.
@@ -55,7 +55,7 @@
     ///
     /// Both request counts are lower bounds, so the higher one applies. The higher server count
     /// applies as well, since a server counts as soon as one of the routers knows it.
-    pub fn with_told(self, other: ToldLoad) -> Self {
+    pub fn with_requester_load(self, other: RequesterLoad) -> Self {
         let least_in_flight = self.least_in_flight.max(other.least_in_flight);
         Self {
             least_in_flight,
--- a/crates/sapphiretrack-core/src/budget.rs
+++ b/crates/sapphiretrack-core/src/budget.rs
@@ -15,7 +15,7 @@
 pub const HELD_SHARE: f64 = 0.2;
 /// Fraction of a budget that a new steward starts with while it may not know all holders; at least
 /// one request.
-pub const UNSURE_SHARE: f64 = 0.125;
+pub const NEW_STEWARD_SHARE: f64 = 0.125;
 /// Lease duration, counted from the last request that the steward received from the holder.
 pub const BUDGET_LEASE_MS: u64 = 1_500;
 /// Minimum retry delay for refused callers.
@@ -34,7 +34,7 @@
 
 /// A router's request to the steward of a customer's budget.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct BudgetAsk {
+pub struct BudgetRequest {
     /// The requesting router.
     pub router: RouterId,
     /// The customer's name.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BudgetGrant {
     /// Decision about the waiting request; if admitted, its amounts are already charged.
-    pub need: Needed,
+    pub need: NeedDecision,
     /// Amounts to add to what the router holds.
     pub added: Amounts,
     /// In-flight slots that the router holds, including those in use.
@@ -77,7 +77,7 @@
 
 /// A steward's decision about a waiting request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Needed {
+pub enum NeedDecision {
     /// No request was waiting.
     Nothing,
     /// The request may run.
@@ -127,8 +127,8 @@
         let mut tokens = RateLimiter::new(limits.tokens_per_s, burst_s, now_ms);
         let mut holders_unknown_until_ms = 0;
         if !knows_holders {
-            requests.scale_level(UNSURE_SHARE);
-            tokens.scale_level(UNSURE_SHARE);
+            requests.scale_level(NEW_STEWARD_SHARE);
+            tokens.scale_level(NEW_STEWARD_SHARE);
             holders_unknown_until_ms = now_ms + BUDGET_LEASE_MS;
         }
         Self {
@@ -145,7 +145,7 @@
     /// routers that may use another steward are unreachable.
     pub fn answer(
         &mut self,
-        request: &BudgetAsk,
+        request: &BudgetRequest,
         limits: &Limits,
         share: f64,
         now_ms: u64,
@@ -154,7 +154,7 @@
         self.set_limits(limits, share, now_ms);
         if !self.record_holder(request, now_ms) {
             return BudgetGrant {
-                need: Needed::SlotsUsedUp {
+                need: NeedDecision::SlotsUsedUp {
                     retry_after_ms: MIN_RETRY_MS,
                 },
                 added: Amounts::default(),
@@ -164,7 +164,7 @@
         let mut added = self.charge_debt(request, now_ms);
         let free_slots = self.free_slots(request, limits, share, now_ms);
         let need = self.decide_need(request, free_slots, now_ms);
-        let admitted = u32::from(need == Needed::Admitted);
+        let admitted = u32::from(need == NeedDecision::Admitted);
         // Leaves half of the free slots to other routers.
         let slots_ahead = request.slots_ahead.min((free_slots - admitted) / 2);
         let slots = request.in_flight + admitted + slots_ahead;
@@ -200,7 +200,7 @@
     }
 
     /// Records what a router holds; returns false if this or a newer request was already answered.
-    fn record_holder(&mut self, request: &BudgetAsk, now_ms: u64) -> bool {
+    fn record_holder(&mut self, request: &BudgetRequest, now_ms: u64) -> bool {
         let known = self.holders.get(&request.router).copied();
         if known.is_some_and(|known| request.sequence <= known.sequence) {
             return false;
@@ -227,7 +227,7 @@
     }
 
     /// Charges the buckets with what a router used beyond what it held.
-    fn charge_debt(&mut self, request: &BudgetAsk, now_ms: u64) -> Amounts {
+    fn charge_debt(&mut self, request: &BudgetRequest, now_ms: u64) -> Amounts {
         let debt = Amounts {
             requests: (-request.held.requests).max(0.0),
             tokens: (-request.held.tokens).max(0.0),
@@ -237,11 +237,11 @@
         debt
     }
 
-    fn free_slots(&self, request: &BudgetAsk, limits: &Limits, share: f64, now_ms: u64) -> u32 {
+    fn free_slots(&self, request: &BudgetRequest, limits: &Limits, share: f64, now_ms: u64) -> u32 {
         let mut limit = (f64::from(limits.in_flight) * share).floor() as u32;
         if now_ms < self.holders_unknown_until_ms {
             let reported: u32 = self.holders.values().map(|h| h.first_in_flight).sum();
-            let unknown = (f64::from(limits.in_flight) * UNSURE_SHARE).floor() as u32;
+            let unknown = (f64::from(limits.in_flight) * NEW_STEWARD_SHARE).floor() as u32;
             limit = limit.min(reported + unknown.max(1));
         }
         let others = self.holders.iter().filter(|(id, _)| **id != request.router);
@@ -249,32 +249,37 @@
         limit.saturating_sub(taken + request.in_flight)
     }
 
-    fn decide_need(&mut self, request: &BudgetAsk, free_slots: u32, now_ms: u64) -> Needed {
+    fn decide_need(
+        &mut self,
+        request: &BudgetRequest,
+        free_slots: u32,
+        now_ms: u64,
+    ) -> NeedDecision {
         let Some(tokens) = request.need_tokens else {
-            return Needed::Nothing;
+            return NeedDecision::Nothing;
         };
         if free_slots == 0 {
-            return Needed::SlotsUsedUp {
+            return NeedDecision::SlotsUsedUp {
                 retry_after_ms: SLOT_RETRY_MS,
             };
         }
         let requests_wait_ms = self.requests.wait_ms(1.0, now_ms);
         let wait_ms = self.tokens.wait_ms(tokens, now_ms).max(requests_wait_ms);
         if wait_ms > 0 {
-            return Needed::RateUsedUp {
+            return NeedDecision::RateUsedUp {
                 retry_after_ms: wait_ms.max(MIN_RETRY_MS),
                 any_size: requests_wait_ms > 0,
             };
         }
         self.requests.charge(1.0, now_ms);
         self.tokens.charge(tokens, now_ms);
-        Needed::Admitted
+        NeedDecision::Admitted
     }
 
     /// Leases amounts in advance, as far as [`HELD_SHARE`] and the buckets allow.
     fn lease_in_advance(
         &mut self,
-        request: &BudgetAsk,
+        request: &BudgetRequest,
         limits: &Limits,
         share: f64,
         now_ms: u64,
--- a/crates/sapphiretrack-core/src/config.rs
+++ b/crates/sapphiretrack-core/src/config.rs
@@ -53,7 +53,7 @@
     }
 
     /// The configuration after the next change; `None` if the change does not follow this version.
-    pub fn after(&self, entry: &Arc<HistoryEntry>) -> Option<Self> {
+    pub fn with_change(&self, entry: &Arc<HistoryEntry>) -> Option<Self> {
         let follows_current = match &entry.change {
             Change::Republished { held_version } => *held_version == self.version,
             _ => entry.version == self.version + 1,
@@ -92,13 +92,13 @@
     }
 
     /// The configuration after a sequence of changes; `None` if there is a gap.
-    pub fn after_all(&self, entries: &[Arc<HistoryEntry>]) -> Option<Self> {
+    pub fn with_changes(&self, entries: &[Arc<HistoryEntry>]) -> Option<Self> {
         let Some((first, rest)) = entries.split_first() else {
             return Some(self.clone());
         };
-        let first = self.after(first)?;
+        let first = self.with_change(first)?;
         rest.iter()
-            .try_fold(first, |config, entry| config.after(entry))
+            .try_fold(first, |config, entry| config.with_change(entry))
     }
 
     /// The changes from an older version to this one, if they are still in [`Self::recent`].
@@ -120,24 +120,24 @@
 
 /// The result of offering a configuration to a router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refreshed {
+pub enum ConfigOffer {
     /// The configuration was newer and is now in force.
-    InForce,
+    Adopted,
     /// The configuration was not newer and was ignored.
-    Kept,
+    Ignored,
 }
 
 /// Replaces the current configuration only by a newer one, so that the version never decreases.
-pub fn newer_config(
+pub fn adopt_if_newer(
     current: &mut Arc<FleetConfig>,
     offered: impl Into<Arc<FleetConfig>>,
-) -> Refreshed {
+) -> ConfigOffer {
     let offered = offered.into();
     if offered.version <= current.version {
-        return Refreshed::Kept;
+        return ConfigOffer::Ignored;
     }
     *current = offered;
-    Refreshed::InForce
+    ConfigOffer::Adopted
 }
 
 /// Index of contracts by caller key.
--- a/crates/sapphiretrack-core/src/held_budget.rs
+++ b/crates/sapphiretrack-core/src/held_budget.rs
@@ -2,7 +2,7 @@
 
 use std::ops::RangeInclusive;
 
-use crate::budget::{Amounts, BUDGET_LEASE_MS, BudgetAsk, BudgetGrant, Needed};
+use crate::budget::{Amounts, BUDGET_LEASE_MS, BudgetGrant, BudgetRequest, NeedDecision};
 use crate::emergency::{EmergencyBudget, EmergencyPart};
 use crate::{Limits, RouterId};
 
@@ -115,7 +115,12 @@
     }
 
     /// Creates a request to the steward, for a waiting request's tokens or only to renew the lease.
-    pub fn ask(&mut self, router: RouterId, customer: &str, need_tokens: Option<f64>) -> BudgetAsk {
+    pub fn ask(
+        &mut self,
+        router: RouterId,
+        customer: &str,
+        need_tokens: Option<f64>,
+    ) -> BudgetRequest {
         self.sequence += 1;
         self.charge_emergency_use();
         let returned = std::mem::take(&mut self.returned);
@@ -127,7 +132,7 @@
             requests: wanted(expected_use.requests, self.held.requests),
             tokens: wanted(expected_use.tokens, self.held.tokens),
         };
-        BudgetAsk {
+        BudgetRequest {
             router,
             customer: customer.to_owned(),
             sequence: self.sequence,
@@ -147,7 +152,7 @@
     /// Applies the steward's reply to a request that was sent at `asked_ms`.
     ///
     /// The lease counts from the time of sending, so it never outlives the steward's record of it.
-    pub fn take_grant(
+    pub fn apply_grant(
         &mut self,
         grant: &BudgetGrant,
         need_tokens: f64,
@@ -163,13 +168,13 @@
         self.expires_ms = asked_ms + BUDGET_LEASE_MS - LEASE_MARGIN_MS;
         let mut refused_tokens = 0.0;
         let shortage = match grant.need {
-            Needed::Nothing => return Ok(()),
-            Needed::Admitted => {
+            NeedDecision::Nothing => return Ok(()),
+            NeedDecision::Admitted => {
                 self.refused = None;
                 self.start_request(need_tokens);
                 return Ok(());
             }
-            Needed::RateUsedUp {
+            NeedDecision::RateUsedUp {
                 retry_after_ms,
                 any_size,
             } => {
@@ -178,7 +183,7 @@
                 }
                 Shortage::Rate { retry_after_ms }
             }
-            Needed::SlotsUsedUp { retry_after_ms } => Shortage::InFlight { retry_after_ms },
+            NeedDecision::SlotsUsedUp { retry_after_ms } => Shortage::InFlight { retry_after_ms },
         };
         self.record_refusal(shortage, refused_tokens, now_ms);
         Err(shortage)
@@ -187,8 +192,8 @@
     /// Records which router answers as steward.
     ///
     /// Amounts admitted in an emergency are not reported to a new steward: its bucket starts at
-    /// [`UNSURE_SHARE`](crate::UNSURE_SHARE) and did not refill in the meantime.
-    pub fn answered_by(&mut self, steward: RouterId) {
+    /// [`NEW_STEWARD_SHARE`](crate::NEW_STEWARD_SHARE) and did not refill in the meantime.
+    pub fn record_steward(&mut self, steward: RouterId) {
         if self.steward.replace(steward) != Some(steward)
             && let Some(emergency) = &mut self.emergency
         {
@@ -198,7 +203,7 @@
 
     /// Records that the steward did not answer. For a limited time, [`Self::try_admit`] then admits
     /// from this router's part of the emergency share.
-    pub fn no_steward(&mut self, part: EmergencyPart, limits: &Limits, now_ms: u64) {
+    pub fn mark_steward_unreachable(&mut self, part: EmergencyPart, limits: &Limits, now_ms: u64) {
         self.emergency
             .get_or_insert_with(|| EmergencyBudget::new(part, limits, now_ms))
             .mark_unreachable(part, limits, now_ms);
@@ -237,7 +242,7 @@
         customer: &str,
         limits: &Limits,
         now_ms: u64,
-    ) -> Option<BudgetAsk> {
+    ) -> Option<BudgetRequest> {
         self.refresh_lease(limits, now_ms);
         self.update_average();
         if !self.is_busy() {
--- a/crates/sapphiretrack-core/src/isolation.rs
+++ b/crates/sapphiretrack-core/src/isolation.rs
@@ -2,7 +2,7 @@
 
 /// When a router last had contact with its peers and the platform.
 #[derive(Clone, Copy, Debug)]
-pub struct Hearing {
+pub struct Contacts {
     /// Whether the platform's list or the settings name other routers.
     pub expects_others: bool,
     /// When a peer's heartbeat was last received.
@@ -11,7 +11,7 @@
     pub platform_reached_ms: Option<u64>,
 }
 
-impl Hearing {
+impl Contacts {
     /// Whether the platform was reached within the last `within_ms`.
     pub fn platform_reached(&self, within_ms: u64, now_ms: u64) -> bool {
         self.platform_reached_ms
--- a/crates/sapphiretrack-core/src/ledger.rs
+++ b/crates/sapphiretrack-core/src/ledger.rs
@@ -97,7 +97,7 @@
     holders: BTreeSet<RouterId>,
     /// Number of routers of which a majority has to consent.
     electorate: usize,
-    sees_cell: bool,
+    sees_majority: bool,
     /// Until this time, requests may be running that no router lists.
     orphaned_requests_until_ms: u64,
 }
@@ -136,7 +136,7 @@
             holders: BTreeSet::new(),
             // No majority is possible before the first view.
             electorate: usize::MAX,
-            sees_cell: false,
+            sees_majority: false,
             orphaned_requests_until_ms: 0,
         }
     }
@@ -223,8 +223,8 @@
     }
 
     /// Whether this router sees a majority of its cell and every router that may hold slots.
-    pub fn sees_cell(&self) -> bool {
-        self.sees_cell
+    pub fn sees_majority(&self) -> bool {
+        self.sees_majority
     }
 
     /// Number of slots held on a server; `None` unless this router counts all of them.
@@ -285,7 +285,7 @@
         self.holders.remove(&self.me);
         self.electorate = voters.max(1);
         let sees_holders = self.holders.iter().all(|holder| view.live.contains(holder));
-        self.sees_cell = sees_holders && view.live.len() * 2 > self.electorate;
+        self.sees_majority = sees_holders && view.live.len() * 2 > self.electorate;
         let known = view.known;
         self.lost.retain(|router, lost| {
             known.contains(router) || now_ms.saturating_sub(lost.since_ms) < electorate_ms
--- a/crates/sapphiretrack-core/src/lib.rs
+++ b/crates/sapphiretrack-core/src/lib.rs
@@ -45,10 +45,10 @@
 pub use attempt::{
     AttemptFailure, AttemptLog, NextStep, Repeatable, first_token_timeout_ms, idle_timeout_ms,
 };
-pub use bound::{LoadBound, PoolLoad, SHED_BELOW_SHARE, ToldLoad, server_limit};
+pub use bound::{LoadBound, PoolLoad, RequesterLoad, SHED_BELOW_SHARE, server_limit};
 pub use budget::{
-    Amounts, BUDGET_LEASE_MS, BudgetAsk, BudgetGrant, BudgetReply, CustomerBudget, HELD_SHARE,
-    Needed, UNSURE_SHARE,
+    Amounts, BUDGET_LEASE_MS, BudgetGrant, BudgetReply, BudgetRequest, CustomerBudget, HELD_SHARE,
+    NEW_STEWARD_SHARE, NeedDecision,
 };
 pub use cell::{Cell, CellId, cell_of_chat, cells_of_workspace, routers_of_workspace};
 pub use change::{Change, HistoryEntry, NameError, check_change_id, check_server_name};
@@ -57,19 +57,19 @@
     CLAIM_RETENTION_MS, Claim, ClaimDecision, ClaimState, RecordedAnswer, RecordedBody,
     claim_expired, decide_claim,
 };
-pub use config::{FleetConfig, KeyIndex, REPUBLISH_STEP, Refreshed, newer_config};
+pub use config::{ConfigOffer, FleetConfig, KeyIndex, REPUBLISH_STEP, adopt_if_newer};
 pub use contract::{
     ClassPolicy, Contract, ContractError, Limits, NonIdempotentRule, contract_differences,
     parse_contract, sha256_hex,
 };
 pub use emergency::{EMERGENCY_MS, EMERGENCY_SHARE, EmergencyPart};
-pub use endings::Endings;
+pub use endings::EndedRuns;
 pub use entry::{EntryCandidate, entry_addresses};
 pub use fair_share::{Demand, FULL_FOR_MS, PoolShares, fair_shares};
 pub use flap::{Damping, FlapHistory};
 pub use held_budget::{Admission, HeldBudget, NO_STEWARD_RETRY_MS, Shortage};
 pub use ids::{AttemptId, ChatKey, ReservationId, RouterId, ServerId, WorkspaceKey, hash_parts};
-pub use isolation::Hearing;
+pub use isolation::Contacts;
 pub use lease::{Fencing, HeldLease, LeaseKeeper, LeaseRow, LeaseStep, LeaseTerms};
 pub use ledger::{CellView, Grant, HeldSlots, Ledger, ReserveRequest, Settings as LedgerSettings};
 pub use limits::RateLimiter;
@@ -85,8 +85,8 @@
 pub use outlier::{OutlierDetector, OutlierSettings};
 pub use overload::{DrainRate, ShedControl};
 pub use path::{check_path, prefix_covers};
-pub use pause::{MAX_TURN_GAP_MS, PauseWatch};
-pub use peer_heartbeat::{HeartbeatTaken, PeerHeartbeat, RouterProfile};
+pub use pause::{MAX_ITERATION_GAP_MS, PauseWatch};
+pub use peer_heartbeat::{HeartbeatResult, PeerHeartbeat, RouterProfile};
 pub use peer_roster::{ListedRouter, PeerRoster, PeerRosterSettings, RosterPeer};
 pub use placement::{
     AskMemory, AskSettings, Candidate, FullServer, LostRouters, MEMORY_BYTES_PER_CHAT,
@@ -94,12 +94,12 @@
     WarmHint, WarmList, WorkspaceShares, ask_again, backlog_tokens, keep_newest, rank_servers,
     wait_for_room, wait_for_steward, with_most_servers,
 };
-pub use pool_load::{DrainSettings, JOIN_SETTLE_MS, SeenLoad, pool_load};
+pub use pool_load::{DrainSettings, JOIN_SETTLE_MS, RouterLoad, pool_load};
 pub use rendezvous::{rendezvous_score, top_by_rendezvous};
 pub use resignation::Resignation;
 pub use retry::{RetryBudget, backoff_ms};
 pub use server_roster::{
     RosterChange, RosterServer, ServerRoster, ServerRosterSettings, ServerSighting,
 };
-pub use stewardship::{ConsentSettings, StewardNames};
+pub use stewardship::{ConsentSettings, StewardConsents};
 pub use stop::StopTiming;
--- a/crates/sapphiretrack-core/src/peer_heartbeat.rs
+++ b/crates/sapphiretrack-core/src/peer_heartbeat.rs
@@ -42,9 +42,9 @@
 
 /// The result of processing a heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum HeartbeatTaken {
+pub enum HeartbeatResult {
     /// The heartbeat was accepted.
-    Taken {
+    Accepted {
         /// The change to log, if any.
         change: Option<RosterChange>,
     },
--- a/crates/sapphiretrack-core/src/peer_roster.rs
+++ b/crates/sapphiretrack-core/src/peer_roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::{
-    Damping, FlapHistory, HeartbeatTaken, Incarnation, PeerHeartbeat, RosterChange, RouterId,
+    Damping, FlapHistory, HeartbeatResult, Incarnation, PeerHeartbeat, RosterChange, RouterId,
     RouterProfile, VmRecord, VmRole, VmState,
 };
 
@@ -89,13 +89,13 @@
     }
 
     /// Processes a heartbeat.
-    pub fn take_heartbeat(&mut self, heartbeat: &PeerHeartbeat, now_ms: u64) -> HeartbeatTaken {
+    pub fn apply_heartbeat(&mut self, heartbeat: &PeerHeartbeat, now_ms: u64) -> HeartbeatResult {
         if heartbeat.router == self.me {
-            return HeartbeatTaken::Stale;
+            return HeartbeatResult::Stale;
         }
         let record = self.records.entry(heartbeat.router).or_default();
         if (heartbeat.incarnation, heartbeat.sequence) <= (record.incarnation, record.sequence) {
-            return HeartbeatTaken::Stale;
+            return HeartbeatResult::Stale;
         }
         let known = self.peers.get(&heartbeat.router);
         let restarted = heartbeat.incarnation != record.incarnation;
@@ -104,7 +104,7 @@
                 .filter(|_| !restarted)
                 .map(|peer| peer.profile.clone())
         }) else {
-            return HeartbeatTaken::NeedsProfile;
+            return HeartbeatResult::NeedsProfile;
         };
         if restarted && known.is_some() {
             record.flaps.record(false, &self.settings.damping, now_ms);
@@ -145,11 +145,11 @@
         self.peers.insert(heartbeat.router, peer);
         self.introduced.remove(&heartbeat.router);
         self.evict_oldest_record();
-        HeartbeatTaken::Taken { change }
+        HeartbeatResult::Accepted { change }
     }
 
     /// Processes the platform's list, which names heartbeat targets and leaving routers.
-    pub fn take_list(&mut self, list: &[VmRecord], now_ms: u64) -> Vec<RosterChange> {
+    pub fn apply_list(&mut self, list: &[VmRecord], now_ms: u64) -> Vec<RosterChange> {
         let mut changes = Vec::new();
         let mut listed = BTreeMap::new();
         for record in list {
@@ -245,7 +245,7 @@
     }
 
     /// Restarts the heartbeat timeout of all peers, after a pause of this router itself.
-    pub fn forgive_silence(&mut self, now_ms: u64) {
+    pub fn reset_silence(&mut self, now_ms: u64) {
         self.seen_ms = now_ms;
         for peer in self.peers.values_mut() {
             peer.seen_ms = now_ms;
@@ -339,7 +339,7 @@
     }
 
     /// Routers lost so recently that peers may not know it yet.
-    pub fn lately_lost(&self, now_ms: u64) -> Vec<RouterId> {
+    pub fn recently_lost(&self, now_ms: u64) -> Vec<RouterId> {
         let records = self.records.iter().filter(|(router, record)| {
             let is_recent = record
                 .lost_ms
--- a/crates/sapphiretrack-core/src/placement/slot_retry.rs
+++ b/crates/sapphiretrack-core/src/placement/slot_retry.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{LoadBound, PoolLoad, ToldLoad, server_limit};
+use crate::{LoadBound, PoolLoad, RequesterLoad, server_limit};
 
 /// Counts that a steward sends with a refusal, so that the requesting router learns the pool's
 /// current load.
@@ -29,12 +29,12 @@
     load: &PoolLoad,
     share: f64,
     refusal: FullServer,
-) -> Option<ToldLoad> {
-    let told = ToldLoad {
+) -> Option<RequesterLoad> {
+    let told = RequesterLoad {
         least_in_flight: load.least_in_flight,
         live_servers: load.live_servers.max(u32::from(refusal.live_servers)),
     };
-    let limit = server_limit(bound, &load.with_told(told), share);
+    let limit = server_limit(bound, &load.with_requester_load(told), share);
     (u32::from(refusal.held) < limit).then_some(told)
 }
 
--- a/crates/sapphiretrack-core/src/pool_load.rs
+++ b/crates/sapphiretrack-core/src/pool_load.rs
@@ -9,7 +9,7 @@
 
 /// A router's requests in flight on a pool, as another router last saw them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct SeenLoad {
+pub struct RouterLoad {
     /// Number of requests in flight at that time.
     pub in_flight: u32,
     /// Age of the count.
@@ -41,7 +41,7 @@
 /// lower bound is valid unless requests end faster than the settings assume.
 pub fn pool_load<Seen>(settings: &DrainSettings, own: u32, seen: Seen) -> PoolLoad
 where
-    Seen: IntoIterator<Item = SeenLoad>,
+    Seen: IntoIterator<Item = RouterLoad>,
 {
     let drain_ms = settings.drain_ms.max(1) as f64;
     let mut total = own;
--- a/crates/sapphiretrack-core/src/resignation.rs
+++ b/crates/sapphiretrack-core/src/resignation.rs
@@ -31,7 +31,7 @@
 
     /// Resigns if all other routers that may be stewards know that this router is leaving; returns
     /// whether it resigned in this call.
-    pub fn settle(&mut self, successors: &[RouterId]) -> bool {
+    pub fn try_resign(&mut self, successors: &[RouterId]) -> bool {
         let Some(leaving_from) = self.leaving_from else {
             return false;
         };
--- a/crates/sapphiretrack-core/src/server_roster.rs
+++ b/crates/sapphiretrack-core/src/server_roster.rs
@@ -114,7 +114,7 @@
 
     /// Processes the platform's list: adds servers and marks leaving ones. Servers missing from the
     /// list are only removed by [`Self::tick`].
-    pub fn take_list(&mut self, list: &[VmRecord], now_ms: u64) -> Vec<RosterChange> {
+    pub fn apply_list(&mut self, list: &[VmRecord], now_ms: u64) -> Vec<RosterChange> {
         let mut changes = Vec::new();
         let servers = || {
             list.iter()
@@ -152,7 +152,7 @@
     }
 
     /// Processes the result of this router's own request for a load report; `None` if it failed.
-    pub fn take_report(
+    pub fn apply_report(
         &mut self,
         id: ServerId,
         report: Option<LoadReport>,
@@ -175,7 +175,7 @@
     }
 
     /// Processes a peer's first-hand knowledge of a server.
-    pub fn take_sighting(
+    pub fn merge_sighting(
         &mut self,
         sighting: &ServerSighting,
         now_ms: u64,
--- a/crates/sapphiretrack-core/src/stewardship.rs
+++ b/crates/sapphiretrack-core/src/stewardship.rs
@@ -35,7 +35,7 @@
 
 /// The stewards that this router consents to.
 #[derive(Debug)]
-pub struct StewardNames {
+pub struct StewardConsents {
     settings: ConsentSettings,
     consents: BTreeMap<ServerId, Consent>,
 }
@@ -49,7 +49,7 @@
     sent_ms: Option<u64>,
 }
 
-impl StewardNames {
+impl StewardConsents {
     /// Creates a table without consents.
     pub fn new(settings: ConsentSettings) -> Self {
         Self {
@@ -62,7 +62,7 @@
     ///
     /// `may_begin` is false while the router does not see a majority of its cell. Then it gives no
     /// consent for a server that it has not consented for before.
-    pub fn want(&mut self, server: ServerId, wanted: RouterId, may_begin: bool, now_ms: u64) {
+    pub fn set_wanted(&mut self, server: ServerId, wanted: RouterId, may_begin: bool, now_ms: u64) {
         let handover_ms = self.settings.handover_ms();
         let Some(consent) = self.consents.get_mut(&server) else {
             if may_begin {
--- a/crates/sapphiretrack-core/src/stop.rs
+++ b/crates/sapphiretrack-core/src/stop.rs
@@ -14,14 +14,14 @@
     /// How long callers use the addresses from a lookup.
     pub entry_ttl_ms: u64,
     /// Time after which every peer knows of the stop or no longer returns this router in lookups.
-    pub unheard_for_ms: u64,
+    pub peers_informed_ms: u64,
 }
 
 impl StopTiming {
     /// Whether the endpoints may be closed `stopping_ms` after the start of the stop and `quiet_ms`
     /// after the last request arrived.
     pub fn may_close(&self, stopping_ms: u64, quiet_ms: u64, in_flight: u64) -> bool {
-        let last_lookup_expiry_ms = self.unheard_for_ms + self.entry_ttl_ms;
+        let last_lookup_expiry_ms = self.peers_informed_ms + self.entry_ttl_ms;
         if in_flight > 0 || stopping_ms < last_lookup_expiry_ms {
             return false;
         }
--- a/crates/sapphiretrack-core/tests/attempt.rs
+++ b/crates/sapphiretrack-core/tests/attempt.rs
@@ -171,7 +171,7 @@
     log.begin(ServerId(1));
     log.fail(AttemptFailure::MayHaveRun);
     let full = sapphiretrack_core::Refusal::not_run(RefusalCode::Overloaded, "full");
-    let corrected = log.correct(full.retry_after(700));
+    let corrected = log.adapt_refusal(full.retry_after(700));
     assert_eq!(
         (corrected.code, corrected.outcome, corrected.retry_after_ms),
         (RefusalCode::ServerFailed, Outcome::Unknown, Some(700))
--- a/crates/sapphiretrack-core/tests/config.rs
+++ b/crates/sapphiretrack-core/tests/config.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use sapphiretrack_core::{
-    Change, Contract, FleetConfig, HistoryEntry, KeyIndex, REPUBLISH_STEP, Refreshed,
-    check_change_id, contract_differences, newer_config, parse_contract, sha256_hex,
+    Change, ConfigOffer, Contract, FleetConfig, HistoryEntry, KeyIndex, REPUBLISH_STEP,
+    adopt_if_newer, check_change_id, contract_differences, parse_contract, sha256_hex,
 };
 
 const CONTRACT: &str = r#"customer = "plant-a"
@@ -54,7 +54,7 @@
         .map(|v| contract_entry(v, &format!("c{v}")))
         .collect();
     FleetConfig::default()
-        .after_all(&entries)
+        .with_changes(&entries)
         .expect("the changes are consecutive")
 }
 
@@ -80,14 +80,14 @@
 #[test]
 fn a_change_applies_only_to_the_version_before_it() {
     let config = config_of_version(3);
-    assert_eq!(config.after(&contract_entry(5, "c5")), None, "a gap");
+    assert_eq!(config.with_change(&contract_entry(5, "c5")), None, "a gap");
     assert_eq!(
-        config.after(&contract_entry(3, "c3")),
+        config.with_change(&contract_entry(3, "c3")),
         None,
         "the same version"
     );
     let next = config
-        .after(&contract_entry(4, "c4"))
+        .with_change(&contract_entry(4, "c4"))
         .expect("the next version");
     assert_eq!((next.version, next.contracts.len()), (4, 4));
 }
@@ -99,9 +99,9 @@
         let change = Change::Republished { held_version };
         entry(held_version + REPUBLISH_STEP, change)
     };
-    assert_eq!(config.after(&republished(2)), None);
+    assert_eq!(config.with_change(&republished(2)), None);
     let next = config
-        .after(&republished(3))
+        .with_change(&republished(3))
         .expect("the version is the held one");
     assert_eq!(next.version, 3 + REPUBLISH_STEP);
     assert_eq!(next.contracts, config.contracts);
@@ -112,7 +112,7 @@
     let config = config_of_version(100);
     let changes = config.changes_since(97, "change-97").expect("known");
     assert_eq!(
-        config_of_version(97).after_all(&changes),
+        config_of_version(97).with_changes(&changes),
         Some(config.clone())
     );
     assert_eq!(config.changes_since(97, "another"), None);
@@ -127,17 +127,17 @@
 fn the_version_never_decreases() {
     let mut current = Arc::new(config_of_version(5));
     assert_eq!(
-        newer_config(&mut current, config_of_version(4)),
-        Refreshed::Kept
+        adopt_if_newer(&mut current, config_of_version(4)),
+        ConfigOffer::Ignored
     );
     assert_eq!(
-        newer_config(&mut current, config_of_version(5)),
-        Refreshed::Kept
+        adopt_if_newer(&mut current, config_of_version(5)),
+        ConfigOffer::Ignored
     );
     assert_eq!(current.version, 5);
     assert_eq!(
-        newer_config(&mut current, config_of_version(6)),
-        Refreshed::InForce
+        adopt_if_newer(&mut current, config_of_version(6)),
+        ConfigOffer::Adopted
     );
     assert_eq!(current.version, 6);
 }
--- a/crates/sapphiretrack-core/tests/peer_roster.rs
+++ b/crates/sapphiretrack-core/tests/peer_roster.rs
@@ -2,7 +2,7 @@
 //! platform's list.
 
 use sapphiretrack_core::{
-    Damping, EntryCandidate, Hearing, HeartbeatTaken, PauseWatch, PeerHeartbeat, PeerRoster,
+    Contacts, Damping, EntryCandidate, HeartbeatResult, PauseWatch, PeerHeartbeat, PeerRoster,
     PeerRosterSettings, RosterChange, RouterId, RouterProfile, VmRecord, VmRole, VmState,
     entry_addresses,
 };
@@ -58,7 +58,7 @@
 
 /// Receives a heartbeat from `name` and an answer to one at `now_ms`.
 fn exchange_heartbeats(roster: &mut PeerRoster, name: &str, sequence: u64, now_ms: u64) {
-    roster.take_heartbeat(&heartbeat(name, 1, sequence), now_ms);
+    roster.apply_heartbeat(&heartbeat(name, 1, sequence), now_ms);
     roster.note_answer(id(name), 1, now_ms);
 }
 
@@ -67,30 +67,30 @@
     let mut roster = roster();
     let first = heartbeat("a", 5, 1);
     assert!(matches!(
-        roster.take_heartbeat(&first, 0),
-        HeartbeatTaken::Taken { .. }
+        roster.apply_heartbeat(&first, 0),
+        HeartbeatResult::Accepted { .. }
     ));
     let leaving = PeerHeartbeat {
         state: VmState::Leaving,
         ..heartbeat("a", 5, 2)
     };
-    roster.take_heartbeat(&leaving, 100);
+    roster.apply_heartbeat(&leaving, 100);
     let gone = roster.tick(2_600);
     assert_eq!(gone, [RosterChange::Lost(String::from("a"))]);
     for replayed in [&first, &leaving] {
         assert_eq!(
-            roster.take_heartbeat(replayed, 3_000),
-            HeartbeatTaken::Stale
+            roster.apply_heartbeat(replayed, 3_000),
+            HeartbeatResult::Stale
         );
     }
     assert!(roster.get(id("a")).is_none());
     // The same incarnation may reappear to finish its requests, but never as live.
-    roster.take_heartbeat(&heartbeat("a", 5, 3), 3_100);
+    roster.apply_heartbeat(&heartbeat("a", 5, 3), 3_100);
     assert_eq!(
         roster.get(id("a")).map(|peer| peer.state()),
         Some(VmState::Leaving)
     );
-    roster.take_heartbeat(&heartbeat("a", 6, 4), 3_200);
+    roster.apply_heartbeat(&heartbeat("a", 6, 4), 3_200);
     assert_eq!(
         roster.get(id("a")).map(|peer| peer.state()),
         Some(VmState::Live)
@@ -101,10 +101,10 @@
 fn leaving_in_the_list_is_final_even_if_the_router_and_a_later_list_say_live() {
     let mut roster = roster();
     exchange_heartbeats(&mut roster, "a", 1, 0);
-    roster.take_list(&[record("a", VmState::Live)], 0);
-    let changes = roster.take_list(&[record("a", VmState::Leaving)], 100);
+    roster.apply_list(&[record("a", VmState::Live)], 0);
+    let changes = roster.apply_list(&[record("a", VmState::Leaving)], 100);
     assert_eq!(changes, [RosterChange::Leaving(String::from("a"))]);
-    roster.take_list(&[record("a", VmState::Live)], 200);
+    roster.apply_list(&[record("a", VmState::Live)], 200);
     exchange_heartbeats(&mut roster, "a", 2, 300);
     assert_eq!(
         roster.get(id("a")).map(|peer| peer.state()),
@@ -120,7 +120,7 @@
 fn a_peer_that_sends_heartbeats_but_does_not_answer_is_no_steward_candidate() {
     let mut roster = roster();
     for half_second in 0..10 {
-        roster.take_heartbeat(&heartbeat("a", 1, half_second + 1), half_second * 500);
+        roster.apply_heartbeat(&heartbeat("a", 1, half_second + 1), half_second * 500);
     }
     assert!(roster.get(id("a")).is_some());
     assert_eq!(
@@ -144,7 +144,7 @@
     };
     for incarnation in 1..=4 {
         let now_ms = incarnation * 1_000;
-        roster.take_heartbeat(&heartbeat("a", incarnation, incarnation), now_ms);
+        roster.apply_heartbeat(&heartbeat("a", incarnation, incarnation), now_ms);
         roster.note_answer(id("a"), 1, now_ms);
         // A single restart does not exclude the router.
         assert_eq!(
@@ -157,7 +157,7 @@
         }
     }
     for sequence in 5..20 {
-        roster.take_heartbeat(&heartbeat("a", 4, sequence), 4_000 + sequence * 500);
+        roster.apply_heartbeat(&heartbeat("a", 4, sequence), 4_000 + sequence * 500);
         roster.note_answer(id("a"), 1, 4_000 + sequence * 500);
     }
     assert!(is_candidate(&roster, 13_500));
@@ -166,7 +166,7 @@
 #[test]
 fn listed_routers_count_as_slot_holders_until_they_are_refused_or_time_out() {
     let mut roster = roster();
-    roster.take_list(&[record("a", VmState::Live), record("b", VmState::Live)], 0);
+    roster.apply_list(&[record("a", VmState::Live), record("b", VmState::Live)], 0);
     let awaited = |roster: &PeerRoster, now_ms| roster.holders(now_ms).len() - 1;
     assert_eq!(awaited(&roster, 100), 2);
     roster.note_refused(id("a"), 200);
@@ -182,17 +182,17 @@
         ..heartbeat("a", 1, 1)
     };
     assert_eq!(
-        roster.take_heartbeat(&without_profile, 0),
-        HeartbeatTaken::NeedsProfile
+        roster.apply_heartbeat(&without_profile, 0),
+        HeartbeatResult::NeedsProfile
     );
-    roster.take_heartbeat(&heartbeat("a", 1, 2), 0);
+    roster.apply_heartbeat(&heartbeat("a", 1, 2), 0);
     let without_profile = PeerHeartbeat {
         sequence: 3,
         ..without_profile
     };
     assert_eq!(
-        roster.take_heartbeat(&without_profile, 0),
-        HeartbeatTaken::Taken { change: None }
+        roster.apply_heartbeat(&without_profile, 0),
+        HeartbeatResult::Accepted { change: None }
     );
     // Another incarnation may have other addresses.
     let restarted = PeerHeartbeat {
@@ -201,8 +201,8 @@
         ..without_profile
     };
     assert_eq!(
-        roster.take_heartbeat(&restarted, 0),
-        HeartbeatTaken::NeedsProfile
+        roster.apply_heartbeat(&restarted, 0),
+        HeartbeatResult::NeedsProfile
     );
 }
 
@@ -226,8 +226,8 @@
 #[test]
 fn an_empty_list_makes_no_router_the_only_one() {
     let mut roster = roster();
-    roster.take_list(&[record("a", VmState::Live)], 0);
-    roster.take_list(&[], 1_000);
+    roster.apply_list(&[record("a", VmState::Live)], 0);
+    roster.apply_list(&[], 1_000);
     assert!(roster.expects_others());
     assert_eq!(roster.targets().len(), 1);
 }
@@ -240,7 +240,7 @@
     assert_eq!(watch.turn(30_100), Some(30_000));
     let mut roster = roster();
     exchange_heartbeats(&mut roster, "a", 1, 100);
-    roster.forgive_silence(30_100);
+    roster.reset_silence(30_100);
     assert_eq!(roster.tick(30_100), []);
     assert_eq!(roster.holders(30_100).len(), 2);
     assert_eq!(roster.tick(32_600).len(), 1);
@@ -248,14 +248,14 @@
 
 #[test]
 fn a_router_is_isolated_without_platform_and_peers_unless_it_is_the_only_one() {
-    let hearing = Hearing {
+    let hearing = Contacts {
         expects_others: true,
         peer_seen_ms: 1_000,
         platform_reached_ms: Some(2_000),
     };
     assert!(!hearing.is_isolated(10_000, 11_999));
     assert!(hearing.is_isolated(10_000, 12_000));
-    let alone = Hearing {
+    let alone = Contacts {
         expects_others: false,
         ..hearing
     };
@@ -308,7 +308,7 @@
             has_resigned,
             ..heartbeat(name, 1, 1)
         };
-        roster.take_heartbeat(&leaving, 0);
+        roster.apply_heartbeat(&leaving, 0);
     }
     let candidates = |own, has_resigned| roster.steward_candidates(own, has_resigned, 1);
     assert_eq!(candidates(VmState::Live, false), [id("me")]);
--- a/crates/sapphiretrack-core/tests/placement.rs
+++ b/crates/sapphiretrack-core/tests/placement.rs
@@ -5,10 +5,10 @@
 use sapphiretrack_core::{
     AskMemory, AskSettings, ChatKey, DrainSettings, FullServer, LoadBound, LoadReport,
     MEMORY_BYTES_PER_CHAT, PlacementMemory, PlacementRequest, PlacementSettings, PoolKind,
-    PoolLoad, PoolView, RouterId, SHED_BELOW_SHARE, SeenLoad, SentTokens, ServerId, ServerView,
-    ToldLoad, UNKNOWN_INCARNATION, VmState, WaitSettings, WarmHint, WorkspaceKey, WorkspaceShares,
-    ask_again, backlog_tokens, pool_load, rank_servers, server_limit, wait_for_room,
-    wait_for_steward, with_most_servers,
+    PoolLoad, PoolView, RequesterLoad, RouterId, RouterLoad, SHED_BELOW_SHARE, SentTokens,
+    ServerId, ServerView, UNKNOWN_INCARNATION, VmState, WaitSettings, WarmHint, WorkspaceKey,
+    WorkspaceShares, ask_again, backlog_tokens, pool_load, rank_servers, server_limit,
+    wait_for_room, wait_for_steward, with_most_servers,
 };
 
 fn server(id: u64) -> ServerView {
@@ -146,7 +146,7 @@
 #[test]
 fn the_least_pool_load_decreases_with_the_age_of_the_counts() {
     let settings = DrainSettings::default();
-    let seen = |age_ms| SeenLoad {
+    let seen = |age_ms| RouterLoad {
         in_flight: 100,
         age_ms,
     };
@@ -318,9 +318,15 @@
     });
     assert_eq!(server_limit(&bound, &outdated, 1.0), 8);
     let told = ask_again(&bound, &current, 1.0, refusals[0]).expect("the server has capacity");
-    assert_eq!(server_limit(&bound, &outdated.with_told(told), 1.0), 10);
+    assert_eq!(
+        server_limit(&bound, &outdated.with_requester_load(told), 1.0),
+        10
+    );
     // The steward's own counts are never lowered.
-    assert_eq!(current.with_told(ToldLoad::default()), current);
+    assert_eq!(
+        current.with_requester_load(RequesterLoad::default()),
+        current
+    );
     assert_eq!(ask_again(&bound, &current, 1.0, refusals[1]), None);
     // A server that only one steward knows counts for all servers of the pool.
     refusals[1].live_servers = 14;
--- a/crates/sapphiretrack-core/tests/server_roster.rs
+++ b/crates/sapphiretrack-core/tests/server_roster.rs
@@ -39,9 +39,9 @@
 /// A roster with `a` and `b`, both of incarnation 1.
 fn roster() -> ServerRoster {
     let mut roster = ServerRoster::default();
-    roster.take_list(&list(&["a", "b"]), 0);
+    roster.apply_list(&list(&["a", "b"]), 0);
     for name in ["a", "b"] {
-        roster.take_report(id(name), Some(report(1)), 0);
+        roster.apply_report(id(name), Some(report(1)), 0);
     }
     roster
 }
@@ -51,8 +51,8 @@
     let mut roster = roster();
     for second in 1..600 {
         let now_ms = second * 1_000;
-        roster.take_list(&[], now_ms);
-        roster.take_report(id("a"), Some(report(1)), now_ms);
+        roster.apply_list(&[], now_ms);
+        roster.apply_report(id("a"), Some(report(1)), now_ms);
         assert_eq!(roster.tick(now_ms), []);
     }
     assert_eq!(roster.state(id("a"), 599_000), Some(VmState::Live));
@@ -64,8 +64,8 @@
     for second in 1..100 {
         let now_ms = second * 1_000;
         let names: &[&str] = if second % 4 == 0 { &["a", "b"] } else { &["b"] };
-        roster.take_list(&list(names), now_ms);
-        roster.take_report(id("a"), Some(report(1)), now_ms);
+        roster.apply_list(&list(names), now_ms);
+        roster.apply_report(id("a"), Some(report(1)), now_ms);
         assert_eq!(roster.tick(now_ms), []);
         assert_eq!(roster.state(id("a"), now_ms), Some(VmState::Live));
     }
@@ -75,8 +75,8 @@
 fn a_server_that_is_unlisted_and_does_not_report_is_removed_after_the_grace_period() {
     let mut roster = roster();
     for now_ms in (250..5_000).step_by(250) {
-        roster.take_list(&list(&["b"]), now_ms);
-        roster.take_report(id("a"), None, now_ms);
+        roster.apply_list(&list(&["b"]), now_ms);
+        roster.apply_report(id("a"), None, now_ms);
         assert_eq!(roster.tick(now_ms), []);
     }
     assert_eq!(roster.state(id("a"), 4_750), Some(VmState::Leaving));
@@ -88,8 +88,8 @@
 fn a_server_that_is_unlisted_for_long_is_removed_even_if_something_reports() {
     let mut roster = roster();
     for second in 1..=61 {
-        roster.take_list(&list(&["b"]), second * 1_000);
-        roster.take_report(id("a"), Some(report(1)), second * 1_000);
+        roster.apply_list(&list(&["b"]), second * 1_000);
+        roster.apply_report(id("a"), Some(report(1)), second * 1_000);
     }
     assert_eq!(roster.tick(60_999), []);
     assert_eq!(roster.tick(61_000), [RosterChange::Lost(String::from("a"))]);
@@ -100,14 +100,14 @@
     type Signal = fn(&mut ServerRoster, u64);
     let signals: [(&str, Signal); 4] = [
         ("list", |roster, now_ms| {
-            roster.take_list(&[record("a", VmState::Leaving)], now_ms);
+            roster.apply_list(&[record("a", VmState::Leaving)], now_ms);
         }),
         ("report", |roster, now_ms| {
             let leaving = LoadReport {
                 leaving: true,
                 ..report(1)
             };
-            roster.take_report(id("a"), Some(leaving), now_ms);
+            roster.apply_report(id("a"), Some(leaving), now_ms);
         }),
         ("peer", |roster, now_ms| {
             let sighting = ServerSighting {
@@ -116,7 +116,7 @@
                 reachable: true,
                 report: report(1),
             };
-            roster.take_sighting(&sighting, now_ms);
+            roster.merge_sighting(&sighting, now_ms);
         }),
         ("refusal", |roster, now_ms| {
             roster.note_leaving(id("a"), 1, now_ms);
@@ -134,15 +134,15 @@
         // All other signals still say live: the delayed list, the reports and a peer without the
         // mark.
         for now_ms in (1_250..20_000).step_by(250) {
-            roster.take_list(&list(&["a", "b"]), now_ms);
-            roster.take_report(id("a"), Some(report(1)), now_ms);
+            roster.apply_list(&list(&["a", "b"]), now_ms);
+            roster.apply_report(id("a"), Some(report(1)), now_ms);
             let sighting = ServerSighting {
                 server: id("a"),
                 state: VmState::Live,
                 reachable: true,
                 report: report(1),
             };
-            roster.take_sighting(&sighting, now_ms);
+            roster.merge_sighting(&sighting, now_ms);
             assert_eq!(
                 roster.state(id("a"), now_ms),
                 Some(VmState::Leaving),
@@ -150,7 +150,7 @@
             );
         }
         // A restart under the same name is another incarnation and accepts work again.
-        roster.take_report(id("a"), Some(report(2)), 20_000);
+        roster.apply_report(id("a"), Some(report(2)), 20_000);
         assert_eq!(roster.state(id("a"), 20_000), Some(VmState::Live), "{name}");
         // A late message about the old incarnation does not mark the new one as leaving.
         let late = ServerSighting {
@@ -159,7 +159,7 @@
             reachable: true,
             report: report(1),
         };
-        roster.take_sighting(&late, 20_100);
+        roster.merge_sighting(&late, 20_100);
         assert_eq!(roster.state(id("a"), 20_100), Some(VmState::Live), "{name}");
     }
 }
@@ -167,11 +167,11 @@
 #[test]
 fn leaving_in_the_list_before_the_first_report_marks_the_incarnation_that_then_reports() {
     let mut roster = ServerRoster::default();
-    roster.take_list(&[record("a", VmState::Leaving)], 0);
-    roster.take_report(id("a"), Some(report(7)), 100);
-    roster.take_list(&list(&["a"]), 1_000);
+    roster.apply_list(&[record("a", VmState::Leaving)], 0);
+    roster.apply_report(id("a"), Some(report(7)), 100);
+    roster.apply_list(&list(&["a"]), 1_000);
     assert_eq!(roster.state(id("a"), 1_000), Some(VmState::Leaving));
-    roster.take_report(id("a"), Some(report(8)), 1_100);
+    roster.apply_report(id("a"), Some(report(8)), 1_100);
     assert_eq!(roster.state(id("a"), 1_100), Some(VmState::Live));
 }
 
@@ -179,8 +179,8 @@
 fn a_leaving_mark_received_before_the_list_is_kept() {
     let mut roster = ServerRoster::default();
     roster.note_leaving(id("a"), 1, 0);
-    roster.take_list(&list(&["a"]), 100);
-    roster.take_report(id("a"), Some(report(1)), 200);
+    roster.apply_list(&list(&["a"]), 100);
+    roster.apply_report(id("a"), Some(report(1)), 200);
     assert_eq!(roster.state(id("a"), 200), Some(VmState::Leaving));
 }
 
@@ -192,15 +192,15 @@
     for _ in 0..5 {
         for _ in 0..3 {
             now_ms += 250;
-            roster.take_report(id("a"), None, now_ms);
+            roster.apply_report(id("a"), None, now_ms);
         }
         assert_eq!(roster.state(id("a"), now_ms), Some(VmState::Leaving));
         let back_ms = now_ms + 250;
         now_ms = back_ms;
-        roster.take_report(id("a"), Some(report(1)), now_ms);
+        roster.apply_report(id("a"), Some(report(1)), now_ms);
         while roster.state(id("a"), now_ms) != Some(VmState::Live) {
             now_ms += 250;
-            roster.take_report(id("a"), Some(report(1)), now_ms);
+            roster.apply_report(id("a"), Some(report(1)), now_ms);
         }
         held_ms.push(now_ms - back_ms);
     }
@@ -214,20 +214,20 @@
     let before_any_report = |listed_first: bool| {
         let mut roster = ServerRoster::default();
         if listed_first {
-            roster.take_list(&list(&["a"]), 0);
+            roster.apply_list(&list(&["a"]), 0);
         }
         roster.note_leaving(id("a"), UNKNOWN_INCARNATION, 1);
-        roster.take_list(&list(&["a"]), 2);
+        roster.apply_list(&list(&["a"]), 2);
         roster
     };
     for listed_first in [true, false] {
         let mut roster = before_any_report(listed_first);
         assert_eq!(roster.state(id("a"), 2), Some(VmState::Leaving));
-        roster.take_report(id("a"), Some(report(7)), 3);
+        roster.apply_report(id("a"), Some(report(7)), 3);
         assert_eq!(roster.state(id("a"), 3), Some(VmState::Leaving));
         assert_eq!(roster.new_marks(3), [(id("a"), 7)]);
         // The next incarnation accepts work again.
-        roster.take_report(id("a"), Some(report(8)), 4);
+        roster.apply_report(id("a"), Some(report(8)), 4);
         assert_eq!(roster.state(id("a"), 4), Some(VmState::Live));
     }
 }
--- a/crates/sapphiretrack-core/tests/steward_changes.rs
+++ b/crates/sapphiretrack-core/tests/steward_changes.rs
@@ -4,8 +4,8 @@
 
 use common::{SERVER, listing, reserve};
 use sapphiretrack_core::{
-    CellView, ConsentSettings, Endings, Grant, Ledger, LedgerSettings, Resignation, RouterId,
-    StewardNames,
+    CellView, ConsentSettings, EndedRuns, Grant, Ledger, LedgerSettings, Resignation, RouterId,
+    StewardConsents,
 };
 
 fn view<'a>(live: &'a [RouterId], known: &'a [RouterId], ended: &'a [RouterId]) -> CellView<'a> {
@@ -19,18 +19,18 @@
 
 #[test]
 fn the_successor_of_a_steward_that_ended_gets_consent_at_once_and_for_the_usual_time() {
-    let mut names = StewardNames::new(ConsentSettings::default());
+    let mut names = StewardConsents::new(ConsentSettings::default());
     let (first, second) = (RouterId(1), RouterId(2));
-    names.want(SERVER, first, true, 0);
+    names.set_wanted(SERVER, first, true, 0);
     names.note_sent(first, 1_000);
     assert!(!names.release(second), "it is not the steward");
-    names.want(SERVER, second, true, 1_001);
+    names.set_wanted(SERVER, second, true, 1_001);
     assert_eq!(names.consent(SERVER), None);
     assert!(names.release(first));
-    names.want(SERVER, second, true, 1_002);
+    names.set_wanted(SERVER, second, true, 1_002);
     assert_eq!(names.consent(SERVER), Some(second));
     names.note_sent(second, 1_003);
-    names.want(SERVER, first, true, 1_004);
+    names.set_wanted(SERVER, first, true, 1_004);
     assert_eq!(
         names.consent(SERVER),
         None,
@@ -52,7 +52,7 @@
     let mut ledger = Ledger::new(routers[0], LedgerSettings::default());
     ledger.set_view(&view(&live, &routers, &routers[1..2]), 100);
     ledger.reconcile(routers[2], &listing(&[], 0), 100);
-    assert!(ledger.sees_cell());
+    assert!(ledger.sees_majority());
     assert_eq!(
         reserve(&mut ledger, routers[0], 1, 100),
         Grant::NotSteward,
@@ -89,19 +89,23 @@
     let expiry_ms = settings.consent.handover_ms();
     let mut ledger = Ledger::new(routers[0], settings);
     ledger.set_view(&view(&routers, &routers, &[]), 0);
-    for (now_ms, sees_cell) in [(0, false), (expiry_ms - 1, false), (expiry_ms, true)] {
+    for (now_ms, sees_majority) in [(0, false), (expiry_ms - 1, false), (expiry_ms, true)] {
         ledger.set_view(&view(live, live, ended), now_ms);
-        assert_eq!(ledger.sees_cell(), sees_cell, "not listed, at {now_ms}");
+        assert_eq!(
+            ledger.sees_majority(),
+            sees_majority,
+            "not listed, at {now_ms}"
+        );
     }
     // A listed router may restart behind a partition and consent to another steward there.
     let mut ledger = Ledger::new(routers[0], settings);
-    for (now_ms, sees_cell) in [
+    for (now_ms, sees_majority) in [
         (0, false),
         (expiry_ms, false),
         (settings.electorate_ms, true),
     ] {
         ledger.set_view(&view(live, &routers, ended), now_ms);
-        assert_eq!(ledger.sees_cell(), sees_cell, "listed, at {now_ms}");
+        assert_eq!(ledger.sees_majority(), sees_majority, "listed, at {now_ms}");
     }
 }
 
@@ -124,7 +128,7 @@
 
 #[test]
 fn a_refused_connection_proves_the_end_of_only_the_incarnation_that_was_dialled() {
-    let mut endings = Endings::default();
+    let mut endings = EndedRuns::default();
     let router = RouterId(1);
     assert!(
         !endings.note_refused(router, 10, 20),
@@ -141,7 +145,7 @@
 
 #[test]
 fn refusals_prove_nothing_for_an_incarnation_that_was_seen_after_one() {
-    let mut endings = Endings::default();
+    let mut endings = EndedRuns::default();
     let router = RouterId(1);
     assert!(endings.note_refused(router, 20, 20));
     endings.note_seen(router, 20);
@@ -159,18 +163,21 @@
     let (first, second) = (RouterId(1), RouterId(2));
     let mut resignation = Resignation::default();
     resignation.note_seen(first, 9);
-    assert!(!resignation.settle(&[first]), "it is not leaving");
+    assert!(!resignation.try_resign(&[first]), "it is not leaving");
     resignation.note_leaving(10);
     resignation.note_leaving(11);
     assert!(
-        !resignation.settle(&[first]),
+        !resignation.try_resign(&[first]),
         "the peer saw only an earlier heartbeat"
     );
     resignation.note_seen(first, 10);
-    assert!(!resignation.settle(&[]), "there is no successor");
-    assert!(!resignation.settle(&[first, second]));
+    assert!(!resignation.try_resign(&[]), "there is no successor");
+    assert!(!resignation.try_resign(&[first, second]));
     resignation.note_seen(second, 11);
-    assert!(resignation.settle(&[first, second]));
-    assert!(!resignation.settle(&[first, second]), "it is already known");
+    assert!(resignation.try_resign(&[first, second]));
+    assert!(
+        !resignation.try_resign(&[first, second]),
+        "it is already known"
+    );
     assert!(resignation.has_resigned());
 }
--- a/crates/sapphiretrack-core/tests/steward_faults.rs
+++ b/crates/sapphiretrack-core/tests/steward_faults.rs
@@ -5,8 +5,8 @@
 use common::{BOUND, SERVER, listing, reserve};
 use proptest::prelude::*;
 use sapphiretrack_core::{
-    CellView, ConsentSettings, Endings, Grant, Ledger, LedgerSettings, ReservationId, RouterId,
-    StewardNames,
+    CellView, ConsentSettings, EndedRuns, Grant, Ledger, LedgerSettings, ReservationId, RouterId,
+    StewardConsents,
 };
 
 const ROUTERS: usize = 5;
@@ -21,9 +21,9 @@
 struct Node {
     incarnation: u64,
     down_steps: usize,
-    names: StewardNames,
+    names: StewardConsents,
     ledger: Ledger,
-    endings: Endings,
+    endings: EndedRuns,
     has_resigned: bool,
     held: Vec<u32>,
     seen_ms: [Option<u64>; ROUTERS],
@@ -35,9 +35,9 @@
         Self {
             incarnation,
             down_steps: 0,
-            names: StewardNames::new(ConsentSettings::default()),
+            names: StewardConsents::new(ConsentSettings::default()),
             ledger: Ledger::new(RouterId(index as u64), LedgerSettings::default()),
-            endings: Endings::default(),
+            endings: EndedRuns::default(),
             has_resigned: false,
             held: Vec::new(),
             seen_ms: [None; ROUTERS],
@@ -201,10 +201,10 @@
             if node.has_resigned {
                 node.names.release(me);
             }
-            let may_begin = node.ledger.sees_cell();
+            let may_begin = node.ledger.sees_majority();
             let wanted = RouterId(self.wanted[index] as u64);
             if live.contains(&wanted) && (wanted != me || !node.has_resigned) {
-                node.names.want(SERVER, wanted, may_begin, now_ms);
+                node.names.set_wanted(SERVER, wanted, may_begin, now_ms);
             }
             if is_own {
                 let own = listing(&node.held, self.last_reservation);
--- a/crates/sapphiretrack-core/tests/stewardship.rs
+++ b/crates/sapphiretrack-core/tests/stewardship.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use sapphiretrack_core::{
     CellView, ConsentSettings, Grant, HeldSlots, Ledger, LedgerSettings, LoadBound, PoolLoad,
-    ReservationId, ReserveRequest, RouterId, ServerId, StewardNames,
+    ReservationId, ReserveRequest, RouterId, ServerId, StewardConsents,
 };
 
 const SERVER: ServerId = ServerId(7);
@@ -91,7 +91,7 @@
     let routers = [RouterId(1), RouterId(2), RouterId(3)];
     let mut ledger = Ledger::new(routers[0], LedgerSettings::default());
     ledger.set_view(&view(&routers[..1], &routers), 0);
-    assert!(!ledger.sees_cell());
+    assert!(!ledger.sees_majority());
     assert_eq!(
         reserve(&mut ledger, &ask(routers[0], 1), 0),
         Grant::NotSteward
@@ -166,24 +166,24 @@
 #[test]
 fn a_router_consents_to_a_new_steward_only_after_its_earlier_consent_has_expired() {
     let settings = ConsentSettings::default();
-    let mut names = StewardNames::new(settings);
+    let mut names = StewardConsents::new(settings);
     let (first, second) = (RouterId(1), RouterId(2));
-    names.want(SERVER, first, false, 0);
+    names.set_wanted(SERVER, first, false, 0);
     assert_eq!(names.consent(SERVER), None, "it does not see its cell yet");
-    names.want(SERVER, first, true, 0);
+    names.set_wanted(SERVER, first, true, 0);
     names.note_sent(first, 1_000);
-    names.want(SERVER, second, true, 1_001);
+    names.set_wanted(SERVER, second, true, 1_001);
     assert_eq!(names.consent(SERVER), None);
     assert_eq!(names.steward(SERVER), Some(first));
-    names.want(SERVER, second, true, 1_000 + settings.handover_ms() - 1);
+    names.set_wanted(SERVER, second, true, 1_000 + settings.handover_ms() - 1);
     assert_eq!(names.consent(SERVER), None);
-    names.want(SERVER, second, true, 1_000 + settings.handover_ms());
+    names.set_wanted(SERVER, second, true, 1_000 + settings.handover_ms());
     assert_eq!(names.consent(SERVER), Some(second));
 }
 
 /// One router of the property test.
 struct Node {
-    names: StewardNames,
+    names: StewardConsents,
     ledger: Ledger,
     held: Vec<u32>,
 }
@@ -198,7 +198,7 @@
         let mut nodes: Vec<Node> = routers
             .iter()
             .map(|id| Node {
-                names: StewardNames::new(ConsentSettings::default()),
+                names: StewardConsents::new(ConsentSettings::default()),
                 ledger: Ledger::new(*id, LedgerSettings::default()),
                 held: Vec::new(),
             })
@@ -210,7 +210,7 @@
             wanted[changed] = steward;
             for index in 0..5 {
                 let node = &mut nodes[index];
-                node.names.want(SERVER, routers[wanted[index]], true, now_ms);
+                node.names.set_wanted(SERVER, routers[wanted[index]], true, now_ms);
                 let is_own = node.names.consent(SERVER) == Some(routers[index]);
                 node.names.note_sent(routers[index], now_ms);
                 let stewarded = [SERVER];
--- a/crates/sapphiretrack-core/tests/stop.rs
+++ b/crates/sapphiretrack-core/tests/stop.rs
@@ -4,7 +4,7 @@
 
 const TIMING: StopTiming = StopTiming {
     entry_ttl_ms: 5_000,
-    unheard_for_ms: 3_000,
+    peers_informed_ms: 3_000,
 };
 
 #[test]
--- a/crates/sapphiretrack-peer/src/client.rs
+++ b/crates/sapphiretrack-peer/src/client.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use sapphiretrack_core::{
-    BudgetAsk, BudgetReply, FullServer, Grant, ReserveRequest, ToldLoad, WarmList,
+    BudgetReply, BudgetRequest, FullServer, Grant, RequesterLoad, ReserveRequest, WarmList,
 };
 use snafu::{IntoError, ResultExt};
 use tarpc::client::{Config, RpcError};
@@ -104,7 +104,7 @@
         &self,
         peer: SocketAddr,
         request: ReserveRequest,
-        known_load: Option<ToldLoad>,
+        known_load: Option<RequesterLoad>,
     ) -> Result<SlotReply, PeerError> {
         let call = match known_load {
             None => PeerRequest::Reserve(request),
@@ -129,7 +129,7 @@
     pub async fn lease_budget(
         &self,
         peer: SocketAddr,
-        ask: BudgetAsk,
+        ask: BudgetRequest,
     ) -> Result<BudgetReply, PeerError> {
         match self.call(peer, &PeerRequest::LeaseBudget(ask)).await? {
             PeerReply::Budget(reply) => Ok(reply),
--- a/crates/sapphiretrack-peer/src/wire.rs
+++ b/crates/sapphiretrack-peer/src/wire.rs
@@ -8,8 +8,9 @@
 use std::net::SocketAddr;
 
 use sapphiretrack_core::{
-    BudgetAsk, BudgetReply, FullServer, Grant, HeldSlots, Incarnation, LoadReport, ReservationId,
-    ReserveRequest, RouterId, RouterProfile, ServerId, ToldLoad, VmState, WarmList,
+    BudgetReply, BudgetRequest, FullServer, Grant, HeldSlots, Incarnation, LoadReport,
+    RequesterLoad, ReservationId, ReserveRequest, RouterId, RouterProfile, ServerId, VmState,
+    WarmList,
 };
 use serde::{Deserialize, Serialize};
 
@@ -176,7 +177,7 @@
         change_id: String,
     },
     /// Requests a part of a customer's budget from the receiver as steward.
-    LeaseBudget(BudgetAsk),
+    LeaseBudget(BudgetRequest),
     /// Requests the receiver's list of VMs. Sent by a router that cannot reach the platform.
     FetchVmList,
     /// Hands over on which servers chats are warm, for at most [`MAX_HAND_OVER_CHATS`] chats. Added
@@ -187,7 +188,7 @@
         /// The slot request.
         request: ReserveRequest,
         /// What the sender knows about the pool's load.
-        known_load: ToldLoad,
+        known_load: RequesterLoad,
     },
 }
 
--- a/crates/sapphiretrack-peer/tests/arbitrary.rs
+++ b/crates/sapphiretrack-peer/tests/arbitrary.rs
@@ -9,7 +9,7 @@
 use proptest::option;
 use proptest::prelude::*;
 use sapphiretrack_core::{
-    Amounts, BudgetAsk, Grant, HeldSlots, LoadReport, ReservationId, ReserveRequest, RouterId,
+    Amounts, BudgetRequest, Grant, HeldSlots, LoadReport, ReservationId, ReserveRequest, RouterId,
     RouterProfile, ServerId, VmState,
 };
 use sapphiretrack_peer::{
@@ -121,11 +121,11 @@
     (-1e9..1e9, -1e9..1e9).prop_map(|(requests, tokens)| Amounts { requests, tokens })
 }
 
-fn budget_request() -> impl Strategy<Value = BudgetAsk> {
+fn budget_request() -> impl Strategy<Value = BudgetRequest> {
     let need = option::of(0.0..1e9);
     let amounts = (amounts(), amounts(), amounts());
     (any::<u64>(), ".{0,20}", amounts, need, any::<u32>()).prop_map(
-        |(router, customer, (held, returned, ahead), need_tokens, in_flight)| BudgetAsk {
+        |(router, customer, (held, returned, ahead), need_tokens, in_flight)| BudgetRequest {
             router: RouterId(router),
             customer,
             sequence: router,
--- a/crates/sapphiretrack-peer/tests/wire.rs
+++ b/crates/sapphiretrack-peer/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use sapphiretrack_core::{
-    FullServer, Grant, HeldSlots, ReservationId, ReserveRequest, RouterId, ServerId, ToldLoad,
+    FullServer, Grant, HeldSlots, RequesterLoad, ReservationId, ReserveRequest, RouterId, ServerId,
     VmState, WarmList,
 };
 use sapphiretrack_peer::{
@@ -235,7 +235,7 @@
         bound_share: 1.0,
         in_flight: 10,
     };
-    let known_load = ToldLoad {
+    let known_load = RequesterLoad {
         least_in_flight: 95,
         live_servers: 12,
     };
--- a/crates/sapphiretrack-platform/src/configuration.rs
+++ b/crates/sapphiretrack-platform/src/configuration.rs
@@ -142,7 +142,7 @@
                 at_ms: now_ms,
                 change: change.clone(),
             });
-            let Some(next) = base.after(&entry) else {
+            let Some(next) = base.with_change(&entry) else {
                 continue;
             };
             let request = change_transaction(head_row.as_ref(), &entry).context(NotAppliedSnafu)?;
@@ -303,7 +303,7 @@
         if first.version != from.version || first.change_id != last.change_id {
             return Ok(None);
         }
-        let config = from.after_all(newer);
+        let config = from.with_changes(newer);
         Ok(config.filter(|config| config.version >= version))
     }
 
--- a/crates/sapphiretrack-platform/src/transaction.rs
+++ b/crates/sapphiretrack-platform/src/transaction.rs
@@ -70,7 +70,7 @@
             held_version: held.version,
         },
     });
-    let next = held.after(&entry).context(ChangedWhileReadSnafu)?;
+    let next = held.with_change(&entry).context(ChangedWhileReadSnafu)?;
     let mut writes = vec![put_head(version)?];
     writes.extend(put_record(&entry)?);
     for lost in held.recent.iter().filter(|e| e.version > head.version) {
--- a/crates/sapphiretrack-tests/tests/limits.rs
+++ b/crates/sapphiretrack-tests/tests/limits.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use sapphiretrack_caller::{CallerClient, RequestOptions};
-use sapphiretrack_core::{RouterId, ServerId, UNSURE_SHARE, hash_parts, sha256_hex, steward_of};
+use sapphiretrack_core::{
+    NEW_STEWARD_SHARE, RouterId, ServerId, hash_parts, sha256_hex, steward_of,
+};
 use sapphiretrack_operator::wire::{ApplyContract, ChangeReply};
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml};
 use tokio::task::JoinHandle;
@@ -107,7 +109,7 @@
     println!("{offered} offered, {ran} ran, {allowed:.1} allowed by one counter");
     assert!(ran <= allowed, "{ran} ran, {allowed} allowed");
     assert!(
-        ran >= BURST * UNSURE_SHARE,
+        ran >= BURST * NEW_STEWARD_SHARE,
         "only {ran} requests were admitted"
     );
 }
--- a/crates/sapphiretrack-tests/tests/paused_budget.rs
+++ b/crates/sapphiretrack-tests/tests/paused_budget.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use sapphiretrack_caller::{CallerClient, ReceivedAnswer, RequestOptions};
 use sapphiretrack_core::{
-    EMERGENCY_SHARE, HELD_SHARE, RouterId, ServerId, UNSURE_SHARE, hash_parts, steward_of,
+    EMERGENCY_SHARE, HELD_SHARE, NEW_STEWARD_SHARE, RouterId, ServerId, hash_parts, steward_of,
 };
 use sapphiretrack_tests::{CALLER_KEY, Fleet, FleetSettings, contract_toml};
 
@@ -118,7 +118,7 @@
     let after = send(&fleet, &others, 75, gap).await;
     // A burst of two seconds' worth, an eighth more for each of two changes of the keeper, and the
     // rate since.
-    let allowed = 20.0 * (1.0 + 2.0 * UNSURE_SHARE) + 10.0 * started.elapsed().as_secs_f64();
+    let allowed = 20.0 * (1.0 + 2.0 * NEW_STEWARD_SHARE) + 10.0 * started.elapsed().as_secs_f64();
     println!(
         "complete: {before} before the end of the pause, {after} after it; \
          {allowed:.1} allowed in all"
--- a/crates/sapphiretrackd/src/control/budgets.rs
+++ b/crates/sapphiretrackd/src/control/budgets.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use sapphiretrack_core::{
-    BUDGET_LEASE_MS, BudgetAsk, BudgetReply, Contract, CustomerBudget, MAX_TURN_GAP_MS, RouterId,
-    ServerId, hash_parts, steward_of,
+    BUDGET_LEASE_MS, BudgetReply, BudgetRequest, Contract, CustomerBudget, MAX_ITERATION_GAP_MS,
+    RouterId, ServerId, hash_parts, steward_of,
 };
 
 use crate::control::ControlState;
@@ -40,7 +40,7 @@
     /// Another router may have been steward in the meantime, and may already have granted what the
     /// buckets refilled during the pause.
     pub(crate) fn reset_after_pause(&mut self, gap_ms: u64, dead_after_ms: u64, now_ms: u64) {
-        if gap_ms + MAX_TURN_GAP_MS >= dead_after_ms {
+        if gap_ms + MAX_ITERATION_GAP_MS >= dead_after_ms {
             self.customers.clear();
             self.stewards_changed_ms = now_ms;
         }
@@ -49,7 +49,7 @@
     /// Answers a router that asks for budget of a customer, as the customer's steward.
     pub(crate) fn grant(
         &mut self,
-        ask: &BudgetAsk,
+        ask: &BudgetRequest,
         contract: &Contract,
         share: f64,
         now_ms: u64,
@@ -72,7 +72,7 @@
 
 impl ControlState {
     /// Returns the peer that is the customer's steward, or this router's own answer if no peer is.
-    pub(crate) fn lease_budget(&mut self, ask: BudgetAsk, now_ms: u64) -> BudgetRoute {
+    pub(crate) fn lease_budget(&mut self, ask: BudgetRequest, now_ms: u64) -> BudgetRoute {
         let steward = budget_steward(&ask.customer, &self.stewards);
         let peer = steward.and_then(|steward| Some((steward, self.peers.get(steward)?)));
         match peer {
@@ -87,7 +87,7 @@
 
     /// Answers a budget request, with `NotSteward` if this router is not the steward or does not
     /// know the customer's contract.
-    pub(super) fn answer_budget_ask(&mut self, ask: &BudgetAsk, now_ms: u64) -> BudgetReply {
+    pub(super) fn answer_budget_ask(&mut self, ask: &BudgetRequest, now_ms: u64) -> BudgetReply {
         let steward = budget_steward(&ask.customer, &self.stewards);
         let contract = self.config.contracts.get(&ask.customer);
         match contract {
--- a/crates/sapphiretrackd/src/control/endings.rs
+++ b/crates/sapphiretrackd/src/control/endings.rs
@@ -62,7 +62,7 @@
     /// Resigns as steward once this router is leaving and all its successors know that it is.
     pub(super) fn update_resignation(&mut self) {
         let is_own_successor = self.stewards.contains(&self.identity.id);
-        if !is_own_successor && self.resignation.settle(&self.stewards) {
+        if !is_own_successor && self.resignation.try_resign(&self.stewards) {
             self.changed = true;
             self.urgent_rounds = URGENT_ROUNDS;
         }
--- a/crates/sapphiretrackd/src/control/handle.rs
+++ b/crates/sapphiretrackd/src/control/handle.rs
@@ -5,8 +5,8 @@
 
 use arc_swap::ArcSwap;
 use sapphiretrack_core::{
-    BudgetAsk, BudgetReply, FleetConfig, FullServer, Grant, Incarnation, LoadReport, ReservationId,
-    RouterId, ServerId, ToldLoad,
+    BudgetReply, BudgetRequest, FleetConfig, FullServer, Grant, Incarnation, LoadReport,
+    RequesterLoad, ReservationId, RouterId, ServerId,
 };
 use sapphiretrack_peer::{HeartbeatReply, PeerReply, PeerRequest};
 use sapphiretrack_platform::wire::VmList;
@@ -84,7 +84,7 @@
     /// A traffic thread asks for budget of a customer.
     LeaseBudget {
         /// The amounts that the router holds and asks for.
-        ask: BudgetAsk,
+        ask: BudgetRequest,
         /// Receives the reply.
         reply: oneshot::Sender<BudgetRoute>,
     },
@@ -147,7 +147,7 @@
     /// This router's requests in flight on the server's pool, which the steward needs.
     pub(crate) in_flight: u16,
     /// The pool's load, sent to a steward that is asked again.
-    pub(crate) known_load: Option<ToldLoad>,
+    pub(crate) known_load: Option<RequesterLoad>,
 }
 
 /// Who decides on a slot.
@@ -173,7 +173,7 @@
         /// The address at which it serves peers.
         address: SocketAddr,
         /// The amounts that the router holds and asks for.
-        ask: BudgetAsk,
+        ask: BudgetRequest,
     },
 }
 
@@ -217,7 +217,7 @@
     }
 
     /// Asks for budget of a customer; none if the control thread has ended.
-    pub(crate) async fn lease_budget(&self, ask: BudgetAsk) -> Option<BudgetRoute> {
+    pub(crate) async fn lease_budget(&self, ask: BudgetRequest) -> Option<BudgetRoute> {
         let (reply, receiver) = oneshot::channel();
         self.send(Command::LeaseBudget { ask, reply });
         receiver.await.ok()
--- a/crates/sapphiretrackd/src/control/heartbeats.rs
+++ b/crates/sapphiretrackd/src/control/heartbeats.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use sapphiretrack_core::{
-    HeartbeatTaken, HeldSlots, Incarnation, PeerHeartbeat, ReservationId, RouterId, ServerId,
+    HeartbeatResult, HeldSlots, Incarnation, PeerHeartbeat, ReservationId, RouterId, ServerId,
     ServerSighting, VmState,
 };
 use sapphiretrack_peer::{Heartbeat, HeartbeatReply, InFlight, Section, ServerState};
@@ -177,8 +177,8 @@
         };
         let run_before = self.peers.known_incarnation(router);
         let version_before = self.peers.get(router).map(|peer| peer.config_version);
-        let taken = self.peers.take_heartbeat(&summary, now_ms);
-        if let HeartbeatTaken::Taken { change } = &taken {
+        let taken = self.peers.apply_heartbeat(&summary, now_ms);
+        if let HeartbeatResult::Accepted { change } = &taken {
             self.handle_peer_changes(change.as_slice());
             self.ended_runs.note_seen(router, heartbeat.incarnation);
             self.resignation.note_seen(router, heartbeat.seen_sequence);
@@ -196,7 +196,7 @@
         }
         HeartbeatReply {
             config_version: self.config.version,
-            wants_whole: taken == HeartbeatTaken::NeedsProfile,
+            wants_whole: taken == HeartbeatResult::NeedsProfile,
             known_incarnation: self.peers.known_incarnation(router),
             introduced: if heartbeat.profile.is_some() {
                 self.introductions(router)
@@ -287,7 +287,7 @@
                 report: state.report,
             };
             self.record_report_time(state.server, now_ms);
-            let change = self.servers.take_sighting(&sighting, now_ms);
+            let change = self.servers.merge_sighting(&sighting, now_ms);
             self.handle_server_changes(change.as_slice());
             self.changed |= self.visible_server_state(state.server, now_ms) != before;
         }
@@ -319,7 +319,7 @@
             held: HeldSlots::default(),
             leaving_servers: self.servers.new_marks(now_ms),
             list_digest: self.list_digest,
-            suspects: self.peers.lately_lost(now_ms),
+            suspects: self.peers.recently_lost(now_ms),
             sections: self.sections(),
         }
     }
--- a/crates/sapphiretrackd/src/control/load.rs
+++ b/crates/sapphiretrackd/src/control/load.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use sapphiretrack_core::{
-    DrainSettings, JOIN_SETTLE_MS, PlacementSettings, PoolLoad, RouterId, SeenLoad, SentTokens,
+    DrainSettings, JOIN_SETTLE_MS, PlacementSettings, PoolLoad, RouterId, RouterLoad, SentTokens,
     ServerId, VmState, backlog_tokens, pool_load,
 };
 
@@ -110,7 +110,7 @@
         }
         let seen = self.load_tracker.peer_loads.iter();
         let seen = seen.filter(|((router, of), _)| of == pool && self.peers.get(*router).is_some());
-        let seen = seen.map(|(_, (in_flight, at_ms))| SeenLoad {
+        let seen = seen.map(|(_, (in_flight, at_ms))| RouterLoad {
             in_flight: *in_flight,
             age_ms: now_ms.saturating_sub(*at_ms),
         });
--- a/crates/sapphiretrackd/src/control/polling.rs
+++ b/crates/sapphiretrackd/src/control/polling.rs
@@ -163,7 +163,7 @@
         Ok(ConfigUpdate::Whole(json)) => serde_json::from_str::<FleetConfig>(&json).ok(),
         Ok(ConfigUpdate::Changes(json)) => serde_json::from_str::<Vec<Arc<HistoryEntry>>>(&json)
             .ok()
-            .and_then(|changes| held.after_all(&changes)),
+            .and_then(|changes| held.with_changes(&changes)),
         Err(_) => None,
     };
     if let Some(config) = config {
--- a/crates/sapphiretrackd/src/control/slots.rs
+++ b/crates/sapphiretrackd/src/control/slots.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use sapphiretrack_core::{
-    CellView, FullServer, Grant, PoolKind, ReservationId, ReserveRequest, RosterServer, RouterId,
-    ServerId, ToldLoad, VmRole, VmState, ask_again, steward_of,
+    CellView, FullServer, Grant, PoolKind, RequesterLoad, ReservationId, ReserveRequest,
+    RosterServer, RouterId, ServerId, VmRole, VmState, ask_again, steward_of,
 };
 use sapphiretrack_peer::{PeerReply, PeerRequest};
 
@@ -95,7 +95,7 @@
 
     /// The load to send to a steward that refused before, so that it can decide again; none if that
     /// is not expected to help.
-    fn load_for_retry(&self, request: &ReservationRequest, now_ms: u64) -> Option<ToldLoad> {
+    fn load_for_retry(&self, request: &ReservationRequest, now_ms: u64) -> Option<RequesterLoad> {
         let refusal = request.refusal?;
         let pool = self.pool_of(request.server)?;
         let load = self.pool_load(&pool, now_ms);
@@ -150,7 +150,7 @@
     pub(super) fn reserve_for_peer(
         &mut self,
         request: &ReserveRequest,
-        known_load: Option<ToldLoad>,
+        known_load: Option<RequesterLoad>,
         now_ms: u64,
     ) -> PeerReply {
         self.record_pool_load(request.router, request.server, request.in_flight, now_ms);
@@ -190,7 +190,7 @@
     fn reserve(
         &mut self,
         request: &ReserveRequest,
-        known_load: Option<ToldLoad>,
+        known_load: Option<RequesterLoad>,
         now_ms: u64,
     ) -> Grant {
         if self.resignation.has_resigned() {
@@ -211,7 +211,7 @@
         self.changed = true;
         let load = self
             .pool_load(&pool, now_ms)
-            .with_told(known_load.unwrap_or_default());
+            .with_requester_load(known_load.unwrap_or_default());
         let bound = self.bound;
         self.ledger.reserve(request, &bound, &load, now_ms)
     }
@@ -243,14 +243,14 @@
         self.ledger.set_view(&view, now_ms);
         let own = self.held_slots_for(me);
         self.ledger.reconcile(me, &own, now_ms);
-        let may_begin = self.ledger.sees_cell();
+        let may_begin = self.ledger.sees_majority();
         self.consents.retain(|server| all.contains(&server));
         if self.resignation.has_resigned() {
             self.consents.release(me);
         }
         for server in all {
             if let Some(steward) = steward_of(server, &self.stewards) {
-                self.consents.want(server, steward, may_begin, now_ms);
+                self.consents.set_wanted(server, steward, may_begin, now_ms);
             }
         }
     }
--- a/crates/sapphiretrackd/src/control/state.rs
+++ b/crates/sapphiretrackd/src/control/state.rs
@@ -5,10 +5,11 @@
 use std::sync::Arc;
 
 use sapphiretrack_core::{
-    AskMemory, AskSettings, ConsentSettings, Endings, FleetConfig, Hearing, Incarnation, KeyIndex,
-    Ledger, LedgerSettings, LoadBound, LoadReport, PauseWatch, PeerRoster, PeerRosterSettings,
-    Refreshed, ReservationId, Resignation, RosterChange, RouterId, RouterProfile, ServerId,
-    ServerRoster, ServerRosterSettings, StewardNames, VmRecord, VmState, hash_parts, newer_config,
+    AskMemory, AskSettings, ConfigOffer, ConsentSettings, Contacts, EndedRuns, FleetConfig,
+    Incarnation, KeyIndex, Ledger, LedgerSettings, LoadBound, LoadReport, PauseWatch, PeerRoster,
+    PeerRosterSettings, ReservationId, Resignation, RosterChange, RouterId, RouterProfile,
+    ServerId, ServerRoster, ServerRosterSettings, StewardConsents, VmRecord, VmState,
+    adopt_if_newer, hash_parts,
 };
 use sapphiretrack_peer::{PeerReply, PeerRequest, VmListReply};
 use sapphiretrack_platform::wire::VmList;
@@ -59,9 +60,9 @@
     pub(super) servers: ServerRoster,
     pub(super) ledger: Ledger,
     /// The stewards that this router consents to.
-    pub(super) consents: StewardNames,
+    pub(super) consents: StewardConsents,
     /// Incarnations of peers that are proven to have ended.
-    pub(super) ended_runs: Endings,
+    pub(super) ended_runs: EndedRuns,
     /// Whether this router has resigned as steward because it is leaving.
     pub(super) resignation: Resignation,
     /// Stewards that are not asked for a moment because they did not reply or are no stewards.
@@ -110,8 +111,8 @@
         };
         Self {
             ledger: Ledger::new(identity.id, ledger_settings(&timing)),
-            consents: StewardNames::new(ledger_settings(&timing).consent),
-            ended_runs: Endings::default(),
+            consents: StewardConsents::new(ledger_settings(&timing).consent),
+            ended_runs: EndedRuns::default(),
             resignation: Resignation::default(),
             ask_memory: AskMemory::new(AskSettings::default()),
             load_tracker: LoadTracker::default(),
@@ -166,8 +167,8 @@
     /// Applies the platform's list of VMs, read by this router or by a peer.
     pub(crate) fn apply_vm_list(&mut self, mut list: VmList, now_ms: u64) {
         list.vms.sort_by(|a, b| a.name.cmp(&b.name));
-        let peers = self.peers.take_list(&list.vms, now_ms);
-        let servers = self.servers.take_list(&list.vms, now_ms);
+        let peers = self.peers.apply_list(&list.vms, now_ms);
+        let servers = self.servers.apply_list(&list.vms, now_ms);
         self.handle_peer_changes(&peers);
         self.handle_server_changes(&servers);
         let mut others = self.peers.iter();
@@ -198,20 +199,22 @@
     }
 
     /// Puts a configuration in force if it is newer than the current one.
-    pub(crate) fn offer_config(&mut self, offered: Arc<FleetConfig>) -> Refreshed {
+    pub(crate) fn offer_config(&mut self, offered: Arc<FleetConfig>) -> ConfigOffer {
         self.changed |= !self.config_known;
         self.config_known = true;
         let version = offered.version.to_string();
         let older = offered.version < self.config.version;
-        let refreshed = newer_config(&mut self.config, offered);
+        let refreshed = adopt_if_newer(&mut self.config, offered);
         match refreshed {
-            Refreshed::InForce => {
+            ConfigOffer::Adopted => {
                 self.changed = true;
                 self.keys = Arc::new(KeyIndex::new(&self.config));
                 Event::CONFIG_IN_FORCE.log(&[("version", &version)]);
             }
-            Refreshed::Kept if older => Event::OLDER_CONFIG_DROPPED.log(&[("version", &version)]),
-            Refreshed::Kept => {}
+            ConfigOffer::Ignored if older => {
+                Event::OLDER_CONFIG_DROPPED.log(&[("version", &version)])
+            }
+            ConfigOffer::Ignored => {}
         }
         refreshed
     }
@@ -229,7 +232,7 @@
             let in_flight = report.running + report.queued;
             self.ledger.note_report(server, in_flight, now_ms);
         }
-        let change = self.servers.take_report(server, report, now_ms);
+        let change = self.servers.apply_report(server, report, now_ms);
         self.handle_server_changes(change.as_slice());
         self.changed |= self.visible_server_state(server, now_ms) != before;
     }
@@ -302,7 +305,7 @@
             return;
         };
         Event::CONTROL_THREAD_PAUSED.log(&[("gap_ms", &gap_ms.to_string())]);
-        self.peers.forgive_silence(now_ms);
+        self.peers.reset_silence(now_ms);
         self.budgets
             .reset_after_pause(gap_ms, self.timing.dead_after_ms, now_ms);
         self.reset_ledger();
@@ -410,8 +413,8 @@
         }
     }
 
-    fn contacts(&self) -> Hearing {
-        Hearing {
+    fn contacts(&self) -> Contacts {
+        Contacts {
             expects_others: self.peers.expects_others() || !self.seeds.is_empty(),
             peer_seen_ms: self.peers.seen_ms(),
             platform_reached_ms: self.platform_reached_ms,
--- a/crates/sapphiretrackd/src/control/thread.rs
+++ b/crates/sapphiretrackd/src/control/thread.rs
@@ -7,7 +7,7 @@
 
 use futures::future::BoxFuture;
 use sapphiretrack_backend::BackendClient;
-use sapphiretrack_core::{FleetConfig, Refreshed, RouterId};
+use sapphiretrack_core::{ConfigOffer, FleetConfig, RouterId};
 use sapphiretrack_peer::{HeartbeatReply, PeerClient, PeerRequest};
 use sapphiretrack_platform::{ConfigurationStore, PlatformClient};
 use tokio::sync::Notify;
@@ -131,7 +131,7 @@
             Command::PlatformCall { reached } => self.state.record_platform_call(reached, now_ms),
             Command::OfferConfig(config) => {
                 // Announced at once instead of with the next periodic heartbeat.
-                if self.offer_config(config) == Refreshed::InForce {
+                if self.offer_config(config) == ConfigOffer::Adopted {
                     self.send_heartbeats(handle);
                 }
             }
@@ -194,7 +194,7 @@
         }
     }
 
-    fn offer_config(&mut self, config: Arc<FleetConfig>) -> Refreshed {
+    fn offer_config(&mut self, config: Arc<FleetConfig>) -> ConfigOffer {
         let refreshed = self.state.offer_config(config);
         let version = self.state.config_version();
         self.metrics.config_version.set(version as i64);
--- a/crates/sapphiretrackd/src/dispatch/attempts.rs
+++ b/crates/sapphiretrackd/src/dispatch/attempts.rs
@@ -54,7 +54,7 @@
         };
         match tokio::time::timeout_at(deadline.into(), reserved).await {
             Ok(Some(slot)) => Ok(slot),
-            Ok(None) => Err(log.correct(self.no_server_refusal(snapshot, pool))),
+            Ok(None) => Err(log.adapt_refusal(self.no_server_refusal(snapshot, pool))),
             Err(_) => {
                 let message = "the deadline of the class passed";
                 Err(log.refusal(RefusalCode::DeadlinePassed, message))
--- a/crates/sapphiretrackd/src/dispatch/slots.rs
+++ b/crates/sapphiretrackd/src/dispatch/slots.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use sapphiretrack_core::{
-    Candidate, FullServer, Grant, Incarnation, ReservationId, ReserveRequest, SHED_BELOW_SHARE,
-    ServerId, ToldLoad, WaitSettings, wait_for_room, wait_for_steward, with_most_servers,
+    Candidate, FullServer, Grant, Incarnation, RequesterLoad, ReservationId, ReserveRequest,
+    SHED_BELOW_SHARE, ServerId, WaitSettings, wait_for_room, wait_for_steward, with_most_servers,
 };
 use sapphiretrack_peer::{PeerError, SlotReply};
 
@@ -213,7 +213,7 @@
         &self,
         address: SocketAddr,
         request: ReserveRequest,
-        pool_load: Option<ToldLoad>,
+        pool_load: Option<RequesterLoad>,
     ) -> Result<(), SlotRefusal> {
         let reservation = request.reservation;
         let reply = self.peers.reserve(address, request, pool_load).await;
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sapphiretrack_core::{
-    Admission, BudgetAsk, BudgetGrant, BudgetReply, Contract, EmergencyPart, HeldBudget,
+    Admission, BudgetGrant, BudgetReply, BudgetRequest, Contract, EmergencyPart, HeldBudget,
     NO_STEWARD_RETRY_MS, PoolShares, Refusal, RefusalCode, RouterId, Shortage, VmState,
     WaitSettings, wait_for_steward,
 };
@@ -164,8 +164,8 @@
             let now_ms = self.clock.now_ms();
             if let Some((steward, grant)) = answer {
                 let mut held = entry.lock();
-                held.answered_by(steward);
-                return held.take_grant(&grant, tokens, asked_ms, now_ms);
+                held.record_steward(steward);
+                return held.apply_grant(&grant, tokens, asked_ms, now_ms);
             }
             self.use_emergency_share(entry, contract);
             match entry.lock().try_admit(tokens, &contract.limits, now_ms) {
@@ -189,7 +189,9 @@
     fn use_emergency_share(&self, entry: &LocalBudget, contract: &Contract) {
         let part = EmergencyPart::new(self.router, &self.live_routers(), &entry.customer);
         let now_ms = self.clock.now_ms();
-        entry.lock().no_steward(part, &contract.limits, now_ms);
+        entry
+            .lock()
+            .mark_steward_unreachable(part, &contract.limits, now_ms);
     }
 
     /// Returns the routers that are seen or listed as live, including this one.
@@ -246,9 +248,9 @@
         };
         let now_ms = self.clock.now_ms();
         let mut held = entry.lock();
-        held.answered_by(steward);
+        held.record_steward(steward);
         // No request waits for this grant, so a shortage refuses none.
-        let _ignored = held.take_grant(&grant, 0.0, asked_ms, now_ms);
+        let _ignored = held.apply_grant(&grant, 0.0, asked_ms, now_ms);
     }
 
     /// Decides from the budget held here. Returns `None` if the steward has to be asked.
@@ -270,7 +272,7 @@
     }
 
     /// Asks the steward for budget. Returns `None` if it does not answer or is not the steward.
-    async fn lease_from_steward(&self, ask: BudgetAsk) -> Option<(RouterId, BudgetGrant)> {
+    async fn lease_from_steward(&self, ask: BudgetRequest) -> Option<(RouterId, BudgetGrant)> {
         let (steward, reply) = match self.control.lease_budget(ask).await? {
             BudgetRoute::Local(reply) => (self.router, reply),
             BudgetRoute::Peer {
--- a/crates/sapphiretrackd/src/stopping.rs
+++ b/crates/sapphiretrackd/src/stopping.rs
@@ -52,7 +52,7 @@
         self.begun.store(true, Ordering::Relaxed);
         let timing = StopTiming {
             entry_ttl_ms: settings.entry_ttl_ms,
-            unheard_for_ms: settings.dead_after_ms,
+            peers_informed_ms: settings.dead_after_ms,
         };
         let started_ms = self.clock.now_ms();
         while tokio::time::Instant::now() < limit {
