--- a/crates/sapphiretrack-bench/src/policy/router/mod.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/mod.rs
@@ -8,10 +8,11 @@
 use std::net::SocketAddr;
 
 use sapphiretrack_core::{
-    AskMemory, AskSettings, Candidate, CellView, ChatKey, ConsentSettings, DrainSettings, Ledger,
-    LedgerSettings, LoadReport, PlacementMemory, PlacementRequest, PlacementSettings, PoolKind,
-    PoolView, RequesterLoad, ReservationId, RouterId, ServerId, ServerView, StewardConsents,
-    VmState, WarmHint, WorkspaceKey, WorkspaceShares, rank_servers, steward_of,
+    Candidate, CellView, ChatKey, ConsentSettings, DrainSettings, Ledger, LedgerSettings,
+    LoadReport, PlacementMemory, PlacementRequest, PlacementSettings, PoolKind, PoolView,
+    RequesterLoad, ReservationId, RouterId, ServerId, ServerView, StewardBackoff,
+    StewardBackoffSettings, StewardConsents, VmState, WarmHint, WorkspaceKey, WorkspaceShares,
+    rank_servers, steward_of,
 };
 
 use super::trace::Turn;
@@ -29,7 +30,7 @@
     placement: PlacementSettings,
     drain: DrainSettings,
     steward_consents: StewardConsents,
-    steward_backoff: AskMemory,
+    steward_backoff: StewardBackoff,
     ledger: Ledger,
     pub(super) memory: PlacementMemory,
     shares: WorkspaceShares,
@@ -109,7 +110,7 @@
             placement,
             drain: DrainSettings::default(),
             steward_consents: StewardConsents::new(consent),
-            steward_backoff: AskMemory::new(AskSettings::default()),
+            steward_backoff: StewardBackoff::new(StewardBackoffSettings::default()),
             ledger: Ledger::new(router_ids[index], LedgerSettings::default()),
             memory: PlacementMemory::new(MEMORY_CHATS),
             shares: WorkspaceShares::default(),
@@ -229,11 +230,11 @@
         self.update_view_loads(now_ms);
         let chat = ChatKey(turn.chat);
         let workspace = WorkspaceKey(turn.workspace);
-        let remembered = self.memory.recall(chat, now_ms);
+        let remembered = self.memory.get(chat, now_ms);
         let warm: Vec<WarmHint> = caller_hint.into_iter().chain(remembered).collect();
         let request = PlacementRequest {
             workspace,
-            workspace_share: self.shares.note(workspace, now_ms),
+            workspace_share: self.shares.note_request(workspace, now_ms),
             chat,
             prompt_tokens: turn.prompt_tokens,
             warm: &warm,
@@ -245,7 +246,7 @@
     }
 
     pub(crate) fn remember(&mut self, chat: u64, hint: WarmHint, now_ms: u64) {
-        self.memory.remember(ChatKey(chat), hint, now_ms);
+        self.memory.insert(ChatKey(chat), hint, now_ms);
     }
 
     /// Clears the placement memory.
--- a/crates/sapphiretrack-bench/src/policy/router/slots.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/slots.rs
@@ -1,7 +1,8 @@
 //! Slot requests to stewards, and the decisions of a router as steward.
 
 use sapphiretrack_core::{
-    FullServer, Grant, RequesterLoad, ReservationId, ReserveRequest, RouterId, ServerId, ask_again,
+    FullServer, Grant, RequesterLoad, ReservationId, ReserveRequest, RouterId, ServerId,
+    load_for_repeated_request,
 };
 
 use super::{Attempt, Reservation, Router};
@@ -16,7 +17,7 @@
         now_ms: u64,
     ) -> Option<RequesterLoad> {
         let load = self.pool_load(now_ms);
-        ask_again(&self.placement.bound, &load, share, full)
+        load_for_repeated_request(&self.placement.bound, &load, share, full)
     }
 
     /// Records that a steward did not reply in time.
--- a/crates/sapphiretrack-bench/src/policy/simulation/ordering.rs
+++ b/crates/sapphiretrack-bench/src/policy/simulation/ordering.rs
@@ -95,7 +95,9 @@
             .collect();
         let request = PlacementRequest {
             workspace,
-            workspace_share: self.oracle_shares.note(workspace, self.now_us / 1_000),
+            workspace_share: self
+                .oracle_shares
+                .note_request(workspace, self.now_us / 1_000),
             chat: ChatKey(turn.chat),
             prompt_tokens: turn.prompt_tokens,
             warm: &warm,
--- a/crates/sapphiretrack-bench/src/policy/simulation/slot_requests.rs
+++ b/crates/sapphiretrack-bench/src/policy/simulation/slot_requests.rs
@@ -1,7 +1,9 @@
 //! Requests slots from the stewards, one server after the other, and waits or refuses the request
 //! if none is granted.
 
-use sapphiretrack_core::{Grant, ReserveRequest, WaitSettings, wait_for_room, with_most_servers};
+use sapphiretrack_core::{
+    Grant, ReserveRequest, WaitSettings, capacity_retry_delay_ms, raise_live_servers_to_max,
+};
 use sapphiretrack_peer::PeerRequest;
 
 use crate::policy::engine::Engine;
@@ -69,7 +71,7 @@
         let (share, now_ms) = (self.bound_share(request), self.now_ms());
         let pending = &mut self.pending[request as usize];
         let mut full = std::mem::take(&mut pending.full_refusals);
-        with_most_servers(full.iter_mut().map(|(_, refusal)| refusal));
+        raise_live_servers_to_max(full.iter_mut().map(|(_, refusal)| refusal));
         if pending.is_second_round {
             return self.wait_or_refuse(request);
         }
@@ -156,7 +158,7 @@
         let left_ms = (deadline_ms as u64).saturating_sub(since_us / 1_000);
         let pending = &mut self.pending[request as usize];
         let waited_ms = pending.waited_ms;
-        let wait = wait_for_room(&WaitSettings::default(), in_flight, waited_ms, left_ms);
+        let wait = capacity_retry_delay_ms(&WaitSettings::default(), in_flight, waited_ms, left_ms);
         let knows_bound = self.policy == Policy::Oracle || self.policy.exchanges_heartbeats();
         match wait.filter(|_| knows_bound) {
             Some(wait_ms) => {
--- a/crates/sapphiretrack-core/src/lib.rs
+++ b/crates/sapphiretrack-core/src/lib.rs
@@ -89,10 +89,10 @@
 pub use peer_heartbeat::{HeartbeatResult, PeerHeartbeat, RouterProfile};
 pub use peer_roster::{ListedRouter, PeerRoster, PeerRosterSettings, RosterPeer};
 pub use placement::{
-    AskMemory, AskSettings, Candidate, FullServer, LostRouters, MEMORY_BYTES_PER_CHAT,
-    PlacementMemory, PlacementRequest, PlacementSettings, SentTokens, WaitSettings, WarmChat,
-    WarmHint, WarmList, WorkspaceShares, ask_again, backlog_tokens, keep_newest, rank_servers,
-    wait_for_room, wait_for_steward, with_most_servers,
+    Candidate, FullServer, LostRouters, MEMORY_BYTES_PER_CHAT, PlacementMemory, PlacementRequest,
+    PlacementSettings, SentTokens, StewardBackoff, StewardBackoffSettings, WaitSettings, WarmChat,
+    WarmHint, WarmList, WorkspaceShares, backlog_tokens, capacity_retry_delay_ms, keep_newest,
+    load_for_repeated_request, raise_live_servers_to_max, rank_servers, steward_retry_delay_ms,
 };
 pub use pool_load::{DrainSettings, JOIN_SETTLE_MS, RouterLoad, pool_load};
 pub use rendezvous::{rendezvous_score, top_by_rendezvous};
--- a/crates/sapphiretrack-core/src/placement/lost_routers.rs
+++ b/crates/sapphiretrack-core/src/placement/lost_routers.rs
@@ -18,7 +18,7 @@
 impl LostRouters {
     /// Updates the routers that are seen now and returns those lost since the last call, except the
     /// ones that were already returned within the minimum read interval.
-    pub fn note(&mut self, routers: &[RouterView], me: RouterId, now_ms: u64) -> Vec<RouterId> {
+    pub fn update(&mut self, routers: &[RouterView], me: RouterId, now_ms: u64) -> Vec<RouterId> {
         let others = routers.iter().filter(|router| router.id != me);
         let states: BTreeMap<_, _> = others.map(|router| (router.id, router.state)).collect();
         let before = std::mem::replace(&mut self.seen, states);
--- a/crates/sapphiretrack-core/src/placement/memory.rs
+++ b/crates/sapphiretrack-core/src/placement/memory.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records which server served a chat and how many of the chat's tokens it has cached.
-    pub fn remember(&mut self, chat: ChatKey, hint: WarmHint, now_ms: u64) {
+    pub fn insert(&mut self, chat: ChatKey, hint: WarmHint, now_ms: u64) {
         let Some(key) = ChatKeyBits::new(chat.0) else {
             return;
         };
@@ -94,7 +94,7 @@
     }
 
     /// The server that last served a chat; `None` if the chat is not stored.
-    pub fn recall(&self, chat: ChatKey, now_ms: u64) -> Option<WarmHint> {
+    pub fn get(&self, chat: ChatKey, now_ms: u64) -> Option<WarmHint> {
         let key = ChatKeyBits::new(chat.0)?;
         let entry = self.entries[self.bucket(key)]
             .iter()
--- a/crates/sapphiretrack-core/src/placement/shares.rs
+++ b/crates/sapphiretrack-core/src/placement/shares.rs
@@ -28,7 +28,7 @@
 
 impl WorkspaceShares {
     /// Counts a request of a workspace and returns the workspace's estimated share of the load.
-    pub fn note(&mut self, workspace: WorkspaceKey, now_ms: u64) -> f64 {
+    pub fn note_request(&mut self, workspace: WorkspaceKey, now_ms: u64) -> f64 {
         if self.counts.len() >= MAX_WORKSPACES && !self.counts.contains_key(&workspace) {
             self.counts.retain(|_, count| count.at(now_ms) >= 1.0);
         }
--- a/crates/sapphiretrack-core/src/placement/slot_retry.rs
+++ b/crates/sapphiretrack-core/src/placement/slot_retry.rs
@@ -24,7 +24,7 @@
 /// servers of a pool may therefore refuse requests although they have capacity. Each refusal
 /// carries the steward's own count, so that a router that was refused by all stewards knows the
 /// current load and can send it to them.
-pub fn ask_again(
+pub fn load_for_repeated_request(
     bound: &LoadBound,
     load: &PoolLoad,
     share: f64,
@@ -42,7 +42,7 @@
 ///
 /// Routers learn of a new server at different times, but the load bound has to count a server as
 /// soon as one router knows it.
-pub fn with_most_servers<'a, Refusals>(refusals: Refusals)
+pub fn raise_live_servers_to_max<'a, Refusals>(refusals: Refusals)
 where
     Refusals: Iterator<Item = &'a mut FullServer>,
 {
--- a/crates/sapphiretrack-core/src/placement/steward_backoff.rs
+++ b/crates/sapphiretrack-core/src/placement/steward_backoff.rs
@@ -6,14 +6,14 @@
 
 /// How long a router sends no slot requests to a steward after a failure.
 #[derive(Clone, Copy, Debug)]
-pub struct AskSettings {
+pub struct StewardBackoffSettings {
     /// After a call that got no reply; applies to all servers of the steward.
     pub silent_ms: u64,
     /// After a reply that the called router is not the server's steward; applies to this server.
     pub not_steward_ms: u64,
 }
 
-impl Default for AskSettings {
+impl Default for StewardBackoffSettings {
     fn default() -> Self {
         Self {
             silent_ms: 1_000,
@@ -27,15 +27,15 @@
 /// Without it, each request of a partitioned router would wait for every unreachable steward in
 /// turn and repeat the same calls.
 #[derive(Debug, Default)]
-pub struct AskMemory {
-    settings: AskSettings,
+pub struct StewardBackoff {
+    settings: StewardBackoffSettings,
     silent_until_ms: BTreeMap<RouterId, u64>,
     not_steward_until_ms: BTreeMap<(RouterId, ServerId), u64>,
 }
 
-impl AskMemory {
+impl StewardBackoff {
     /// Creates an empty table.
-    pub fn new(settings: AskSettings) -> Self {
+    pub fn new(settings: StewardBackoffSettings) -> Self {
         Self {
             settings,
             ..Self::default()
--- a/crates/sapphiretrack-core/src/placement/wait.rs
+++ b/crates/sapphiretrack-core/src/placement/wait.rs
@@ -31,7 +31,7 @@
 ///
 /// A request only waits if one of the pool's requests in flight is expected to end within the wait.
 /// The more requests are in flight, the sooner one of them ends.
-pub fn wait_for_room(
+pub fn capacity_retry_delay_ms(
     settings: &WaitSettings,
     pool_in_flight: u32,
     waited_ms: u64,
@@ -55,7 +55,11 @@
 ///
 /// A server has no steward while its steward is changing. The waits double, since a change either
 /// ends soon or takes long.
-pub fn wait_for_steward(settings: &WaitSettings, waited_ms: u64, left_ms: u64) -> Option<u64> {
+pub fn steward_retry_delay_ms(
+    settings: &WaitSettings,
+    waited_ms: u64,
+    left_ms: u64,
+) -> Option<u64> {
     let wait_ms = waited_ms.max(settings.min_wait_ms);
     let by_deadline_ms = (left_ms as f64 * settings.deadline_fraction) as u64;
     let allowed_ms = settings.max_total_ms.saturating_sub(waited_ms);
--- a/crates/sapphiretrack-core/tests/placement.rs
+++ b/crates/sapphiretrack-core/tests/placement.rs
@@ -3,12 +3,13 @@
 use std::net::SocketAddr;
 
 use sapphiretrack_core::{
-    AskMemory, AskSettings, ChatKey, DrainSettings, FullServer, LoadBound, LoadReport,
-    MEMORY_BYTES_PER_CHAT, PlacementMemory, PlacementRequest, PlacementSettings, PoolKind,
-    PoolLoad, PoolView, RequesterLoad, RouterId, RouterLoad, SHED_BELOW_SHARE, SentTokens,
-    ServerId, ServerView, UNKNOWN_INCARNATION, VmState, WaitSettings, WarmHint, WorkspaceKey,
-    WorkspaceShares, ask_again, backlog_tokens, pool_load, rank_servers, server_limit,
-    wait_for_room, wait_for_steward, with_most_servers,
+    ChatKey, DrainSettings, FullServer, LoadBound, LoadReport, MEMORY_BYTES_PER_CHAT,
+    PlacementMemory, PlacementRequest, PlacementSettings, PoolKind, PoolLoad, PoolView,
+    RequesterLoad, RouterId, RouterLoad, SHED_BELOW_SHARE, SentTokens, ServerId, ServerView,
+    StewardBackoff, StewardBackoffSettings, UNKNOWN_INCARNATION, VmState, WaitSettings, WarmHint,
+    WorkspaceKey, WorkspaceShares, backlog_tokens, capacity_retry_delay_ms,
+    load_for_repeated_request, pool_load, raise_live_servers_to_max, rank_servers, server_limit,
+    steward_retry_delay_ms,
 };
 
 fn server(id: u64) -> ServerView {
@@ -163,7 +164,7 @@
     let chats = 10_000;
     let mut memory = PlacementMemory::new(chats);
     for chat in 1..=chats as u64 {
-        memory.remember(
+        memory.insert(
             ChatKey(chat.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             hint(1),
             chat * 1_000,
@@ -176,12 +177,12 @@
     );
     let mut small = PlacementMemory::new(8);
     for chat in 1..=9 {
-        small.remember(ChatKey(chat), hint(chat), chat * 1_000);
+        small.insert(ChatKey(chat), hint(chat), chat * 1_000);
     }
-    assert_eq!(small.recall(ChatKey(1), 9_000), None);
+    assert_eq!(small.get(ChatKey(1), 9_000), None);
     assert_eq!(small.len(), 8);
     let recalled = small
-        .recall(ChatKey(2), 9_000)
+        .get(ChatKey(2), 9_000)
         .expect("it is not the oldest entry");
     assert_eq!((recalled.server, recalled.age_ms), (ServerId(2), 7_000));
 }
@@ -192,14 +193,17 @@
         deadline_fraction: 0.5,
         ..WaitSettings::default()
     };
-    assert_eq!(wait_for_room(&settings, 0, 0, 60_000), None);
-    assert_eq!(wait_for_room(&settings, 1, 0, 60_000), None);
-    assert_eq!(wait_for_room(&settings, 100, 0, 60_000), Some(100));
+    assert_eq!(capacity_retry_delay_ms(&settings, 0, 0, 60_000), None);
+    assert_eq!(capacity_retry_delay_ms(&settings, 1, 0, 60_000), None);
     assert_eq!(
-        wait_for_room(&settings, 100, settings.max_total_ms, 60_000),
+        capacity_retry_delay_ms(&settings, 100, 0, 60_000),
+        Some(100)
+    );
+    assert_eq!(
+        capacity_retry_delay_ms(&settings, 100, settings.max_total_ms, 60_000),
         None
     );
-    assert_eq!(wait_for_room(&settings, 100, 0, 150), None);
+    assert_eq!(capacity_retry_delay_ms(&settings, 100, 0, 150), None);
 }
 
 #[test]
@@ -210,13 +214,13 @@
     };
     let mut waited_ms = 0;
     let mut waits = Vec::new();
-    while let Some(wait_ms) = wait_for_steward(&settings, waited_ms, 60_000) {
+    while let Some(wait_ms) = steward_retry_delay_ms(&settings, waited_ms, 60_000) {
         waits.push(wait_ms);
         waited_ms += wait_ms;
     }
     assert_eq!(waits, [40, 40, 80, 160, 320, 640]);
-    assert_eq!(wait_for_steward(&settings, 0, 79), None);
-    assert_eq!(wait_for_steward(&settings, 0, 80), Some(40));
+    assert_eq!(steward_retry_delay_ms(&settings, 0, 79), None);
+    assert_eq!(steward_retry_delay_ms(&settings, 0, 80), Some(40));
 }
 
 #[test]
@@ -225,7 +229,7 @@
     for (deadline_ms, in_flight) in [(1_000, 32), (2_000, 32), (2_000, 128), (3_000, 500)] {
         let mut waited_ms = 0;
         while let Some(wait_ms) =
-            wait_for_room(&settings, in_flight, waited_ms, deadline_ms - waited_ms)
+            capacity_retry_delay_ms(&settings, in_flight, waited_ms, deadline_ms - waited_ms)
         {
             waited_ms += wait_ms;
         }
@@ -282,8 +286,8 @@
     };
     let mut share = 0.0;
     for step in 0..400 {
-        shares.note(WorkspaceKey(step), 0);
-        share = shares.note(WorkspaceKey(1_000), 0);
+        shares.note_request(WorkspaceKey(step), 0);
+        share = shares.note_request(WorkspaceKey(1_000), 0);
     }
     assert_eq!(homes(0.01), settings.subset_servers);
     assert!(
@@ -292,9 +296,9 @@
         homes(share)
     );
     for step in 0..400 {
-        shares.note(WorkspaceKey(step), 120_000);
+        shares.note_request(WorkspaceKey(step), 120_000);
     }
-    let later = shares.note(WorkspaceKey(1_000), 120_000);
+    let later = shares.note_request(WorkspaceKey(1_000), 120_000);
     assert_eq!(homes(later), settings.subset_servers);
 }
 
@@ -317,7 +321,8 @@
         ..FullServer::default()
     });
     assert_eq!(server_limit(&bound, &outdated, 1.0), 8);
-    let told = ask_again(&bound, &current, 1.0, refusals[0]).expect("the server has capacity");
+    let told = load_for_repeated_request(&bound, &current, 1.0, refusals[0])
+        .expect("the server has capacity");
     assert_eq!(
         server_limit(&bound, &outdated.with_requester_load(told), 1.0),
         10
@@ -327,17 +332,23 @@
         current.with_requester_load(RequesterLoad::default()),
         current
     );
-    assert_eq!(ask_again(&bound, &current, 1.0, refusals[1]), None);
+    assert_eq!(
+        load_for_repeated_request(&bound, &current, 1.0, refusals[1]),
+        None
+    );
     // A server that only one steward knows counts for all servers of the pool.
     refusals[1].live_servers = 14;
-    with_most_servers(refusals.iter_mut());
-    assert_eq!(ask_again(&bound, &current, 1.0, refusals[0]), None);
+    raise_live_servers_to_max(refusals.iter_mut());
+    assert_eq!(
+        load_for_repeated_request(&bound, &current, 1.0, refusals[0]),
+        None
+    );
 }
 
 #[test]
 fn a_steward_that_did_not_help_is_skipped_for_a_while() {
-    let settings = AskSettings::default();
-    let mut backoff = AskMemory::new(settings);
+    let settings = StewardBackoffSettings::default();
+    let mut backoff = StewardBackoff::new(settings);
     let [one, other] = [RouterId(1), RouterId(2)];
     let [first, second] = [ServerId(1), ServerId(2)];
     backoff.note_silent(one, 0);
--- a/crates/sapphiretrackd/src/control/heartbeats.rs
+++ b/crates/sapphiretrackd/src/control/heartbeats.rs
@@ -191,7 +191,7 @@
                 self.tick(now_ms);
             }
             self.changed |= version_before != Some(heartbeat.config_version);
-            self.ask_memory.note_seen(router);
+            self.steward_backoff.note_seen(router);
             self.apply_heartbeat(&heartbeat, now_ms);
         }
         HeartbeatReply {
--- a/crates/sapphiretrackd/src/control/slots.rs
+++ b/crates/sapphiretrackd/src/control/slots.rs
@@ -5,7 +5,7 @@
 
 use sapphiretrack_core::{
     CellView, FullServer, Grant, PoolKind, RequesterLoad, ReservationId, ReserveRequest,
-    RosterServer, RouterId, ServerId, VmRole, VmState, ask_again, steward_of,
+    RosterServer, RouterId, ServerId, VmRole, VmState, load_for_repeated_request, steward_of,
 };
 use sapphiretrack_peer::{PeerReply, PeerRequest};
 
@@ -50,7 +50,7 @@
         let router = self.identity.id;
         let known_load = self.load_for_retry(&request, now_ms);
         let retry_is_futile = request.refusal.is_some() && known_load.is_none();
-        let may_ask = |steward: &RouterId| self.ask_memory.may_ask(*steward, server, now_ms);
+        let may_ask = |steward: &RouterId| self.steward_backoff.may_ask(*steward, server, now_ms);
         let route = match self.steward(server) {
             _ if retry_is_futile => SlotRoute::Unavailable,
             Some(steward) if steward == router => {
@@ -99,7 +99,7 @@
         let refusal = request.refusal?;
         let pool = self.pool_of(request.server)?;
         let load = self.pool_load(&pool, now_ms);
-        ask_again(&self.bound, &load, request.bound_share, refusal)
+        load_for_repeated_request(&self.bound, &load, request.bound_share, refusal)
     }
 
     /// Records that a peer granted a slot.
@@ -130,9 +130,11 @@
             SlotRefusal::Full(full) => {
                 self.record_pool_load(steward, server, full.in_flight, now_ms)
             }
-            SlotRefusal::NotSteward => self.ask_memory.note_not_steward(steward, server, now_ms),
+            SlotRefusal::NotSteward => self
+                .steward_backoff
+                .note_not_steward(steward, server, now_ms),
             SlotRefusal::WithoutCounts => {}
-            SlotRefusal::NoReply => self.ask_memory.note_silent(steward, now_ms),
+            SlotRefusal::NoReply => self.steward_backoff.note_silent(steward, now_ms),
         }
     }
 
--- a/crates/sapphiretrackd/src/control/state.rs
+++ b/crates/sapphiretrackd/src/control/state.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 
 use sapphiretrack_core::{
-    AskMemory, AskSettings, ConfigOffer, ConsentSettings, Contacts, EndedRuns, FleetConfig,
-    Incarnation, KeyIndex, Ledger, LedgerSettings, LoadBound, LoadReport, PauseWatch, PeerRoster,
-    PeerRosterSettings, ReservationId, Resignation, RosterChange, RouterId, RouterProfile,
-    ServerId, ServerRoster, ServerRosterSettings, StewardConsents, VmRecord, VmState,
-    adopt_if_newer, hash_parts,
+    ConfigOffer, ConsentSettings, Contacts, EndedRuns, FleetConfig, Incarnation, KeyIndex, Ledger,
+    LedgerSettings, LoadBound, LoadReport, PauseWatch, PeerRoster, PeerRosterSettings,
+    ReservationId, Resignation, RosterChange, RouterId, RouterProfile, ServerId, ServerRoster,
+    ServerRosterSettings, StewardBackoff, StewardBackoffSettings, StewardConsents, VmRecord,
+    VmState, adopt_if_newer, hash_parts,
 };
 use sapphiretrack_peer::{PeerReply, PeerRequest, VmListReply};
 use sapphiretrack_platform::wire::VmList;
@@ -66,7 +66,7 @@
     /// Whether this router has resigned as steward because it is leaving.
     pub(super) resignation: Resignation,
     /// Stewards that are not asked for a moment because they did not reply or are no stewards.
-    pub(super) ask_memory: AskMemory,
+    pub(super) steward_backoff: StewardBackoff,
     pub(super) load_tracker: LoadTracker,
     pub(super) budgets: Budgets,
     /// The slots that this router holds or has asked for.
@@ -114,7 +114,7 @@
             consents: StewardConsents::new(ledger_settings(&timing).consent),
             ended_runs: EndedRuns::default(),
             resignation: Resignation::default(),
-            ask_memory: AskMemory::new(AskSettings::default()),
+            steward_backoff: StewardBackoff::new(StewardBackoffSettings::default()),
             load_tracker: LoadTracker::default(),
             peers: PeerRoster::new(identity.id, peer_settings),
             servers: ServerRoster::new(server_settings),
--- a/crates/sapphiretrackd/src/dispatch/mod.rs
+++ b/crates/sapphiretrackd/src/dispatch/mod.rs
@@ -145,7 +145,7 @@
     fn count_workspace_request(&self, workspace: WorkspaceKey) -> f64 {
         let shares = self.shares.lock();
         let mut shares = shares.unwrap_or_else(PoisonError::into_inner);
-        shares.note(workspace, self.clock.now_ms())
+        shares.note_request(workspace, self.clock.now_ms())
     }
 }
 
--- a/crates/sapphiretrackd/src/dispatch/slots.rs
+++ b/crates/sapphiretrackd/src/dispatch/slots.rs
@@ -5,7 +5,8 @@
 
 use sapphiretrack_core::{
     Candidate, FullServer, Grant, Incarnation, RequesterLoad, ReservationId, ReserveRequest,
-    SHED_BELOW_SHARE, ServerId, WaitSettings, wait_for_room, wait_for_steward, with_most_servers,
+    SHED_BELOW_SHARE, ServerId, WaitSettings, capacity_retry_delay_ms, raise_live_servers_to_max,
+    steward_retry_delay_ms,
 };
 use sapphiretrack_peer::{PeerError, SlotReply};
 
@@ -91,10 +92,11 @@
             let settings = WaitSettings::default();
             // Requests of a shed class do not wait.
             let is_shed = wanted.bound_share < SHED_BELOW_SHARE;
-            let room_wait_ms = wait_for_room(&settings, pool.in_flight(), waited_ms, left_ms);
+            let room_wait_ms =
+                capacity_retry_delay_ms(&settings, pool.in_flight(), waited_ms, left_ms);
             let elapsed_ms = started_at.elapsed().as_millis() as u64;
             let steward_wait_ms = lacks_steward
-                .then(|| wait_for_steward(&settings, elapsed_ms, left_ms))
+                .then(|| steward_retry_delay_ms(&settings, elapsed_ms, left_ms))
                 .flatten();
             let wait = room_wait_ms.into_iter().chain(steward_wait_ms).min();
             let wait_ms = wait.filter(|_| !is_shed)?;
@@ -121,7 +123,7 @@
             Err(failed) => failed,
         };
         let mut full = std::mem::take(&mut failed.full);
-        with_most_servers(full.iter_mut().filter_map(|(_, counts)| counts.as_mut()));
+        raise_live_servers_to_max(full.iter_mut().filter_map(|(_, counts)| counts.as_mut()));
         let slot = self.reserve_first_granted(snapshot, wanted, &full).await;
         slot.map_err(|_| failed)
     }
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -7,7 +7,7 @@
 use sapphiretrack_core::{
     Admission, BudgetGrant, BudgetReply, BudgetRequest, Contract, EmergencyPart, HeldBudget,
     NO_STEWARD_RETRY_MS, PoolShares, Refusal, RefusalCode, RouterId, Shortage, VmState,
-    WaitSettings, wait_for_steward,
+    WaitSettings, steward_retry_delay_ms,
 };
 use sapphiretrack_peer::{PeerClient, PeerError};
 use tokio::time::MissedTickBehavior;
@@ -175,7 +175,7 @@
             }
             let waited_ms = now_ms.saturating_sub(started_ms);
             let left_ms = deadline_ms.saturating_sub(waited_ms);
-            let wait = wait_for_steward(&WaitSettings::default(), waited_ms, left_ms);
+            let wait = steward_retry_delay_ms(&WaitSettings::default(), waited_ms, left_ms);
             let Some(wait_ms) = wait else {
                 return Err(Shortage::NoSteward {
                     retry_after_ms: NO_STEWARD_RETRY_MS,
--- a/crates/sapphiretrackd/src/warm_memory.rs
+++ b/crates/sapphiretrackd/src/warm_memory.rs
@@ -30,12 +30,12 @@
 
     /// Records where a chat is served now.
     pub(crate) fn remember(&self, chat: ChatKey, place: WarmHint) {
-        self.lock().remember(chat, place, self.clock.now_ms());
+        self.lock().insert(chat, place, self.clock.now_ms());
     }
 
     /// Returns where a chat was last served.
     pub(crate) fn recall(&self, chat: ChatKey) -> Option<WarmHint> {
-        self.lock().recall(chat, self.clock.now_ms())
+        self.lock().get(chat, self.clock.now_ms())
     }
 
     /// Merges what another router knew `more_ms` ago. Returns how many entries were new or
--- a/crates/sapphiretrackd/src/warm_snapshots.rs
+++ b/crates/sapphiretrackd/src/warm_snapshots.rs
@@ -105,7 +105,7 @@
         loop {
             tokio::time::sleep(LOST_PEER_POLL).await;
             let now = self.control.snapshot();
-            for router in lost.note(&now.routers, self.me, self.clock.now_ms()) {
+            for router in lost.update(&now.routers, self.me, self.clock.now_ms()) {
                 let known = before.routers.iter().find(|known| known.id == router);
                 let name = known.map(|known| known.name.clone()).unwrap_or_default();
                 let snapshots = self.clone();
