--- a/crates/sapphiretrack-bench/src/claims.rs
+++ b/crates/sapphiretrack-bench/src/claims.rs
@@ -10,7 +10,7 @@
 use sapphiretrack_fakes::{EngineSettings, PlatformFaults};
 
 use crate::open_loop::quantile;
-use crate::run::{block_on, check_all_read};
+use crate::run::{block_on, reject_unused_arguments};
 use crate::small_fleet::{CALLER_KEY, SmallFleet, SmallFleetSettings, contract_toml};
 
 /// Requests of each kind for each delay of the platform.
@@ -18,7 +18,7 @@
 
 /// Runs the measurement and prints its results; an error says what failed.
 pub fn run(arguments: Arguments) -> Result<(), String> {
-    check_all_read(arguments)?;
+    reject_unused_arguments(arguments)?;
     block_on(2, async {
         let fleet = SmallFleet::start(SmallFleetSettings {
             routers: 3,
--- a/crates/sapphiretrack-bench/src/demo/mod.rs
+++ b/crates/sapphiretrack-bench/src/demo/mod.rs
@@ -13,7 +13,7 @@
 use crate::demo::callers::{CallerPlan, run_callers};
 use crate::demo::sample::Sampler;
 use crate::demo::tally::Tally;
-use crate::run::{block_on, check_all_read};
+use crate::run::{block_on, reject_unused_arguments};
 use crate::site::{Site, SiteSettings};
 
 /// The seed if `--seed` is absent.
@@ -33,7 +33,7 @@
     let seed: Option<u64> = arguments
         .opt_value_from_str("--seed")
         .map_err(|error| error.to_string())?;
-    check_all_read(arguments)?;
+    reject_unused_arguments(arguments)?;
     block_on(4, run_demo(seed.unwrap_or(DEFAULT_SEED)))
 }
 
--- a/crates/sapphiretrack-bench/src/limits/tables.rs
+++ b/crates/sapphiretrack-bench/src/limits/tables.rs
@@ -3,7 +3,7 @@
 use pico_args::Arguments;
 
 use super::{LimiterFault, LimitsRun, MS_PER_S};
-use crate::run::check_all_read;
+use crate::run::reject_unused_arguments;
 
 /// The duration of each run, in seconds of virtual time.
 const RUN_S: f64 = 60.0;
@@ -17,7 +17,7 @@
 
 /// Runs the simulations and prints their tables.
 pub fn run(arguments: Arguments) -> Result<(), String> {
-    check_all_read(arguments)?;
+    reject_unused_arguments(arguments)?;
     println!(
         "limiters  offered  admitted     exact    over %  worst excess  asks/admitted  ask bytes/s/limiter"
     );
--- a/crates/sapphiretrack-bench/src/overhead.rs
+++ b/crates/sapphiretrack-bench/src/overhead.rs
@@ -9,7 +9,7 @@
 use sapphiretrack_caller::{CallerClient, RequestOptions};
 use sapphiretrack_core::LoadBound;
 
-use crate::run::{block_on, check_all_read};
+use crate::run::{block_on, reject_unused_arguments};
 use crate::site::{CALLER_KEY, Site, SiteSettings};
 
 /// Requests sent one after another on each path.
@@ -52,7 +52,7 @@
 /// Runs the measurement and prints its table, or one JSON object per line with `--json`.
 pub fn run(mut arguments: Arguments) -> Result<(), String> {
     let json = arguments.contains("--json");
-    check_all_read(arguments)?;
+    reject_unused_arguments(arguments)?;
     block_on(4, measure(json))
 }
 
--- a/crates/sapphiretrack-bench/src/overload.rs
+++ b/crates/sapphiretrack-bench/src/overload.rs
@@ -6,7 +6,7 @@
 use sapphiretrack_fakes::{EngineFaults, EngineSettings};
 
 use crate::open_loop::{OfferedClass, OfferedLoad, offer_load, quantile};
-use crate::run::{block_on, check_all_read};
+use crate::run::{block_on, reject_unused_arguments};
 use crate::small_fleet::{SmallFleet, SmallFleetSettings, contract_toml};
 
 const ENGINES: usize = 4;
@@ -23,7 +23,7 @@
         .opt_value_from_str("--seconds")
         .map_err(|error| error.to_string())?
         .unwrap_or(15.0);
-    check_all_read(arguments)?;
+    reject_unused_arguments(arguments)?;
     block_on(2, async move {
         let capacity = measure_capacity().await?;
         println!("measured capacity of the fake engines: {capacity:.0} requests/s");
@@ -65,7 +65,7 @@
 /// Runs the measurement of retries while engines fail and prints its results; an error says what
 /// failed.
 pub fn run_brown_out(arguments: Arguments) -> Result<(), String> {
-    check_all_read(arguments)?;
+    reject_unused_arguments(arguments)?;
     block_on(2, async {
         for failing in [1, 2, ENGINES] {
             let fleet = start_fleet(ENGINES).await?;
--- a/crates/sapphiretrack-bench/src/run.rs
+++ b/crates/sapphiretrack-bench/src/run.rs
@@ -5,7 +5,7 @@
 use pico_args::Arguments;
 
 /// Returns an error if any argument is left that no flag has consumed.
-pub(crate) fn check_all_read(arguments: Arguments) -> Result<(), String> {
+pub(crate) fn reject_unused_arguments(arguments: Arguments) -> Result<(), String> {
     match arguments.finish().first() {
         None => Ok(()),
         Some(argument) => Err(format!("unknown argument {argument:?}; hint: see --help")),
--- a/crates/sapphiretrack-bench/src/slopes/measures.rs
+++ b/crates/sapphiretrack-bench/src/slopes/measures.rs
@@ -108,7 +108,7 @@
             apply_contract_of_another_customer(&fleet, applied).await?;
         }
         if !fleet
-            .comes_to(|status| status.config_version >= applied)
+            .eventually(|status| status.config_version >= applied)
             .await
         {
             return Err(format!(
--- a/crates/sapphiretrack-bench/src/soak/command.rs
+++ b/crates/sapphiretrack-bench/src/soak/command.rs
@@ -133,7 +133,7 @@
         fleet.add_router(&format!("router-{index}"), index).await;
     }
     fleet.publish().await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     fleet
 }
 
@@ -188,7 +188,7 @@
     }
     evidence.killed = injector.killed.clone();
     let fleet = &injector.fleet;
-    if !fleet.settles().await {
+    if !fleet.converges().await {
         let detail = String::from("not all routers see all routers and servers");
         let violation = Violation::new(ViolationKind::NotSettled, detail);
         evidence.violations.push(violation);
@@ -200,7 +200,7 @@
     }
     let newest = newest_accepted(evidence);
     if !fleet
-        .comes_to(|status| status.config_version >= newest)
+        .eventually(|status| status.config_version >= newest)
         .await
     {
         let detail = format!("version {newest} is not in force on all routers");
--- a/crates/sapphiretrack-bench/src/streams.rs
+++ b/crates/sapphiretrack-bench/src/streams.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::JoinSet;
 
-use crate::run::{block_on, check_all_read};
+use crate::run::{block_on, reject_unused_arguments};
 use crate::small_fleet::{CALLER_KEY, contract_toml};
 
 const OPERATOR_KEY: &str = "bench-operator";
@@ -29,7 +29,7 @@
         .opt_value_from_str("--port")
         .map_err(|error| error.to_string())?
         .unwrap_or(DEFAULT_PORT);
-    check_all_read(arguments)?;
+    reject_unused_arguments(arguments)?;
     block_on(2, async {
         let reading = measure_reading_callers(port, &[1_000, 3_000]);
         reading.await?;
--- a/crates/sapphiretrack-tests/src/fleet.rs
+++ b/crates/sapphiretrack-tests/src/fleet.rs
@@ -92,7 +92,7 @@
             fleet.add_router(&format!("router-{index}"), index).await;
         }
         fleet.publish().await;
-        fleet.wait_settled().await;
+        fleet.wait_converged().await;
         fleet
             .wait_status("a configuration on every router", |status| {
                 status.config_known
--- a/crates/sapphiretrack-tests/src/settle.rs
+++ b/crates/sapphiretrack-tests/src/settle.rs
@@ -13,9 +13,9 @@
 
 impl Fleet {
     /// Waits until every router sees all routers and servers.
-    pub async fn wait_settled(&self) {
+    pub async fn wait_converged(&self) {
         assert!(
-            self.settles().await,
+            self.converges().await,
             "not every router sees all members within {CONVERGENCE_TIMEOUT:?}"
         );
         self.wait_configured().await;
@@ -46,8 +46,8 @@
     }
 
     /// Whether every router sees all routers and servers within the time limit.
-    pub async fn settles(&self) -> bool {
-        self.comes_to(|status| self.sees_fleet(status, 0)).await
+    pub async fn converges(&self) -> bool {
+        self.eventually(|status| self.sees_fleet(status, 0)).await
     }
 
     /// Waits until every router sees all members and `others` more routers, which are not members
@@ -71,13 +71,13 @@
         Condition: Fn(&Status) -> bool,
     {
         assert!(
-            self.comes_to(condition).await,
+            self.eventually(condition).await,
             "{what}: not within {CONVERGENCE_TIMEOUT:?}"
         );
     }
 
     /// Whether the status of every router satisfies a condition within the time limit.
-    pub async fn comes_to<Condition>(&self, condition: Condition) -> bool
+    pub async fn eventually<Condition>(&self, condition: Condition) -> bool
     where
         Condition: Fn(&Status) -> bool,
     {
--- a/crates/sapphiretrack-tests/tests/configuration.rs
+++ b/crates/sapphiretrack-tests/tests/configuration.rs
@@ -235,7 +235,7 @@
     let up = PlatformFaults::default();
     fleet.set_faults(fleet.platform_address, &up).await;
     fleet.restart_router(1).await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     fleet
         .wait_status("the contracts in force again", |status| {
             status.config_version == 1
--- a/crates/sapphiretrack-tests/tests/kill_points.rs
+++ b/crates/sapphiretrack-tests/tests/kill_points.rs
@@ -194,7 +194,7 @@
             other => assert_eq!(step, Step::AfterRecord, "{other:?}"),
         }
         order.fleet.restart_router(0).await;
-        order.fleet.wait_settled().await;
+        order.fleet.wait_converged().await;
     }
     panic!("the answer was always quicker than the kill");
 }
@@ -259,7 +259,7 @@
         kill_at(&mut order, step).await;
         check_repeat(&order, step, platform).await;
         order.fleet.restart_router(0).await;
-        order.fleet.wait_settled().await;
+        order.fleet.wait_converged().await;
     }
 }
 
--- a/crates/sapphiretrack-tests/tests/leases.rs
+++ b/crates/sapphiretrack-tests/tests/leases.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sapphiretrack_core::{FencingCheck, LeaseRow, RouterId};
-use sapphiretrack_fakes::{ArrivedOrder, FakePlatform, PlatformFaults, PlatformSettings};
+use sapphiretrack_fakes::{FakePlatform, PlatformFaults, PlatformSettings, ReceivedOrder};
 use sapphiretrack_operator::wire::{SetFencing, SetGoal};
 use sapphiretrack_platform::{
     LeaseStore, LeaseWriteResult, PlatformClient, PlatformError, Settings, StoredLease,
@@ -104,7 +104,7 @@
     }
 }
 
-async fn orders(fleet: &Fleet) -> Vec<ArrivedOrder> {
+async fn orders(fleet: &Fleet) -> Vec<ReceivedOrder> {
     get_json(&format!(
         "http://{}/fake/orders",
         fleet.servers[0].vm.address
@@ -138,7 +138,7 @@
 
 /// Pauses the lease holder past the end of its lease and resumes it while its successor sends
 /// orders; returns the orders that arrived at the engine.
-async fn pause_lease_holder(check: FencingCheck) -> Vec<ArrivedOrder> {
+async fn pause_lease_holder(check: FencingCheck) -> Vec<ReceivedOrder> {
     let mut settings = FleetSettings::default();
     if check == FencingCheck::Ignores {
         settings.engine_flags.push(String::from("--ignore-fencing"));
--- a/crates/sapphiretrack-tests/tests/membership.rs
+++ b/crates/sapphiretrack-tests/tests/membership.rs
@@ -168,7 +168,7 @@
         assert_eq!(answer.outcome, "complete", "{answer:?}");
     }
     fleet.publish().await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -239,7 +239,7 @@
     }
     frozen.process.signal("CONT").await;
     frozen.process.wait_line("event=\"220\"").await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     for router in 0..3 {
         chat_until_complete(&fleet.caller_url(router), "after").await;
     }
@@ -262,7 +262,7 @@
     dead.process.kill().await;
     fleet.add_router_with("router-1", 1, &seeds).await;
     fleet.add_router_with("router-9", 2, &seeds).await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     for router in 0..4 {
         chat_until_complete(&fleet.caller_url(router), "during").await;
     }
@@ -270,7 +270,7 @@
         .set_faults(fleet.platform_address, &PlatformFaults::default())
         .await;
     fleet.publish().await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -356,7 +356,7 @@
             .all(|member| member.vm.state == VmState::Live)
     );
     fleet.publish().await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     for router in 0..fleet.routers.len() {
         chat_until_complete(&fleet.caller_url(router), "with the zone").await;
     }
--- a/crates/sapphiretrack-tests/tests/outcome_history/main.rs
+++ b/crates/sapphiretrack-tests/tests/outcome_history/main.rs
@@ -48,7 +48,7 @@
         .add_server("engine", "dispatch", PoolKind::Engine, 2)
         .await;
     fleet.publish().await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     fleet.apply_contract(&contract(), 0).await;
     let shared = Arc::new(Shared {
         urls: Mutex::new((0..3).map(|router| fleet.caller_url(router)).collect()),
--- a/crates/sapphiretrack-tests/tests/outcomes.rs
+++ b/crates/sapphiretrack-tests/tests/outcomes.rs
@@ -282,7 +282,7 @@
         .add_server("engine", "dispatch", PoolKind::Engine, 2)
         .await;
     fleet.publish().await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     let rule = "\n[[non_idempotent]]\npool = \"dispatch\"\n";
     let contract = contract_toml(1_000).replace("[\"assistant\",", "[\"dispatch\", \"assistant\",");
     fleet.apply_contract(&(contract + rule), 0).await;
--- a/crates/sapphiretrack-tests/tests/planned_stop.rs
+++ b/crates/sapphiretrack-tests/tests/planned_stop.rs
@@ -167,6 +167,6 @@
         fleet.routers.pop();
         fleet.add_router(&format!("router-of-{round}"), 1).await;
         fleet.publish().await;
-        fleet.wait_settled().await;
+        fleet.wait_converged().await;
     }
 }
--- a/crates/sapphiretrack-tests/tests/warm_memory.rs
+++ b/crates/sapphiretrack-tests/tests/warm_memory.rs
@@ -182,7 +182,7 @@
     wait_written(&fleet).await;
     fleet.restart_router(0).await;
     wait_event(&fleet, 0, 521).await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     let cold = cold_chats(&fleet, 0).await;
     assert!(cold.is_empty(), "cold: {cold:?}");
 }
@@ -211,7 +211,7 @@
     }
     fleet.restart_router(0).await;
     wait_event(&fleet, 0, 523).await;
-    fleet.wait_settled().await;
+    fleet.wait_converged().await;
     // Every chat is answered, but the router does not know where they are warm any more.
     assert!(!cold_chats(&fleet, 0).await.is_empty());
 }
