--- a/crates/sapphiretrack-core/src/budget.rs
+++ b/crates/sapphiretrack-core/src/budget.rs
@@ -121,12 +121,12 @@
     ///
     /// If the steward does not know all holders, it grants only a part until earlier leases have
     /// expired.
-    pub fn new(limits: &Limits, knows_holders: bool, now_ms: u64) -> Self {
+    pub fn new(limits: &Limits, are_holders_known: bool, now_ms: u64) -> Self {
         let burst_s = limits.burst_s * (1.0 - HELD_SHARE);
         let mut requests = RateLimiter::new(limits.requests_per_s, burst_s, now_ms);
         let mut tokens = RateLimiter::new(limits.tokens_per_s, burst_s, now_ms);
         let mut holders_unknown_until_ms = 0;
-        if !knows_holders {
+        if !are_holders_known {
             requests.scale_level(NEW_STEWARD_SHARE);
             tokens.scale_level(NEW_STEWARD_SHARE);
             holders_unknown_until_ms = now_ms + BUDGET_LEASE_MS;
--- a/crates/sapphiretrack-core/src/endings.rs
+++ b/crates/sapphiretrack-core/src/ended_incarnations.rs
@@ -14,13 +14,13 @@
 /// heartbeat shows that a refusal was wrong, for example because a packet filter refused the
 /// connection, later refusals for that incarnation are ignored.
 #[derive(Debug, Default)]
-pub struct EndedRuns {
+pub struct EndedIncarnations {
     ended: BTreeMap<RouterId, Incarnation>,
     /// Incarnations that sent a heartbeat after a refused connection.
     disproved: BTreeMap<RouterId, Incarnation>,
 }
 
-impl EndedRuns {
+impl EndedIncarnations {
     /// Records a refused connection; returns whether it newly proves that an incarnation ended.
     ///
     /// `dialled` is the latest incarnation known when the connection attempt started, `newest` the
--- a/crates/sapphiretrack-core/src/held_budget.rs
+++ b/crates/sapphiretrack-core/src/held_budget.rs
@@ -115,7 +115,7 @@
     }
 
     /// Creates a request to the steward, for a waiting request's tokens or only to renew the lease.
-    pub fn ask(
+    pub fn budget_request(
         &mut self,
         router: RouterId,
         customer: &str,
@@ -149,14 +149,14 @@
         }
     }
 
-    /// Applies the steward's reply to a request that was sent at `asked_ms`.
+    /// Applies the steward's reply to a request that was sent at `requested_ms`.
     ///
     /// The lease counts from the time of sending, so it never outlives the steward's record of it.
     pub fn apply_grant(
         &mut self,
         grant: &BudgetGrant,
         need_tokens: f64,
-        asked_ms: u64,
+        requested_ms: u64,
         now_ms: u64,
     ) -> Result<(), Shortage> {
         if let Some(emergency) = &mut self.emergency {
@@ -165,7 +165,7 @@
         self.held.requests += grant.added.requests;
         self.held.tokens += grant.added.tokens;
         self.slots = grant.slots;
-        self.expires_ms = asked_ms + BUDGET_LEASE_MS - LEASE_MARGIN_MS;
+        self.expires_ms = requested_ms + BUDGET_LEASE_MS - LEASE_MARGIN_MS;
         let mut refused_tokens = 0.0;
         let shortage = match grant.need {
             NeedDecision::Nothing => return Ok(()),
@@ -267,12 +267,12 @@
                 .as_ref()
                 .is_some_and(EmergencyBudget::needs_report)
             || (self.in_flight > 0 && lease_ends);
-        let ask = due.then(|| self.ask(router, customer, None));
+        let request = due.then(|| self.budget_request(router, customer, None));
         self.spent = Amounts::default();
         self.peak_in_flight = self.in_flight;
         self.emergency
             .take_if(|emergency| emergency.is_unused(now_ms));
-        ask
+        request
     }
 
     /// Whether the rate of requests justifies the messages for leasing in advance.
--- a/crates/sapphiretrack-core/src/lease.rs
+++ b/crates/sapphiretrack-core/src/lease.rs
@@ -130,7 +130,7 @@
                 since_ms: now_ms,
             });
         }
-        self.forget_if_lost(row, now_ms);
+        self.drop_if_lost(row, now_ms);
         if let Some(held) = self.held {
             let due = now_ms.saturating_sub(self.renewed_ms) >= self.terms.renew_every_ms;
             if !due {
@@ -155,17 +155,17 @@
         })
     }
 
-    /// Records that a row was written; `asked_ms` is a time before the write was sent.
-    pub fn note_written(&mut self, row: &LeaseRow, asked_ms: u64) {
+    /// Records that a row was written; `requested_ms` is a time before the write was sent.
+    pub fn note_written(&mut self, row: &LeaseRow, requested_ms: u64) {
         let usable_ms = self.terms.duration_ms.saturating_sub(self.terms.margin_ms);
-        self.renewed_ms = asked_ms;
+        self.renewed_ms = requested_ms;
         self.seen = Some(Seen {
             row: Some(*row),
-            since_ms: asked_ms,
+            since_ms: requested_ms,
         });
         self.held = (!row.released).then_some(HeldLease {
             fencing: row.fencing,
-            valid_until_ms: asked_ms + usable_ms,
+            valid_until_ms: requested_ms + usable_ms,
             row: *row,
         });
     }
@@ -183,7 +183,7 @@
 
     /// Drops a lease that has expired or whose row was overwritten by another holder. An expired
     /// lease is never renewed, only acquired again with a new fencing number.
-    fn forget_if_lost(&mut self, row: Option<LeaseRow>, now_ms: u64) {
+    fn drop_if_lost(&mut self, row: Option<LeaseRow>, now_ms: u64) {
         let Some(held) = self.held else { return };
         let same = row.is_some_and(|row| {
             (row.holder, row.incarnation, row.fencing)
--- a/crates/sapphiretrack-core/src/lib.rs
+++ b/crates/sapphiretrack-core/src/lib.rs
@@ -13,7 +13,7 @@
 mod config;
 mod contract;
 mod emergency;
-mod endings;
+mod ended_incarnations;
 mod entry;
 mod fair_share;
 mod flap;
@@ -22,7 +22,6 @@
 mod isolation;
 mod lease;
 mod ledger;
-mod limits;
 mod membership;
 mod orders;
 mod outcome;
@@ -34,6 +33,7 @@
 mod peer_roster;
 mod placement;
 mod pool_load;
+mod rate_limiter;
 mod rendezvous;
 mod resignation;
 mod retry;
@@ -63,7 +63,7 @@
     parse_contract, sha256_hex,
 };
 pub use emergency::{EMERGENCY_MS, EMERGENCY_SHARE, EmergencyPart};
-pub use endings::EndedRuns;
+pub use ended_incarnations::EndedIncarnations;
 pub use entry::{EntryCandidate, entry_addresses};
 pub use fair_share::{Demand, FULL_FOR_MS, PoolShares, fair_shares};
 pub use flap::{Damping, FlapHistory};
@@ -72,7 +72,6 @@
 pub use isolation::Contacts;
 pub use lease::{Fencing, HeldLease, LeaseKeeper, LeaseRow, LeaseStep, LeaseTerms};
 pub use ledger::{CellView, Grant, HeldSlots, Ledger, ReserveRequest, Settings as LedgerSettings};
-pub use limits::RateLimiter;
 pub use membership::{
     Incarnation, LoadReport, PoolKind, PoolView, RouterView, ServerView, UNKNOWN_INCARNATION,
     VmRecord, VmRole, VmState, steward_of,
@@ -85,7 +84,7 @@
 pub use outlier::{OutlierDetector, OutlierSettings};
 pub use overload::{DrainRate, ShedControl};
 pub use path::{check_path, prefix_covers};
-pub use pause::{MAX_ITERATION_GAP_MS, PauseWatch};
+pub use pause::{MAX_ITERATION_GAP_MS, PauseDetector};
 pub use peer_heartbeat::{HeartbeatResult, PeerHeartbeat, RouterProfile};
 pub use peer_roster::{ListedRouter, PeerRoster, PeerRosterSettings, RosterPeer};
 pub use placement::{
@@ -95,6 +94,7 @@
     load_for_repeated_request, raise_live_servers_to_max, rank_servers, steward_retry_delay_ms,
 };
 pub use pool_load::{DrainSettings, JOIN_SETTLE_MS, RouterLoad, pool_load};
+pub use rate_limiter::RateLimiter;
 pub use rendezvous::{rendezvous_score, top_by_rendezvous};
 pub use resignation::Resignation;
 pub use retry::{RetryBudget, backoff_ms};
--- a/crates/sapphiretrack-core/src/pause.rs
+++ b/crates/sapphiretrack-core/src/pause.rs
@@ -5,13 +5,13 @@
 
 /// Detects that the control loop paused, because the process was stopped or got no CPU time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PauseWatch {
+pub struct PauseDetector {
     last_iteration_ms: Option<u64>,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// Records an iteration of the loop; returns the length of the pause before it, if any.
-    pub fn turn(&mut self, now_ms: u64) -> Option<u64> {
+    pub fn record_iteration(&mut self, now_ms: u64) -> Option<u64> {
         let last_ms = self.last_iteration_ms.replace(now_ms)?;
         let gap_ms = now_ms.saturating_sub(last_ms);
         (gap_ms >= MAX_ITERATION_GAP_MS).then_some(gap_ms)
--- a/crates/sapphiretrack-core/src/peer_roster.rs
+++ b/crates/sapphiretrack-core/src/peer_roster.rs
@@ -204,9 +204,9 @@
             return false;
         };
         peer.answered_ms = now_ms;
-        let is_news = config_version > peer.config_version;
+        let is_newer = config_version > peer.config_version;
         peer.config_version = peer.config_version.max(config_version);
-        is_news
+        is_newer
     }
 
     /// Removes a peer whose address refuses connections, since its process has ended.
--- a/crates/sapphiretrack-core/src/placement/slot_retry.rs
+++ b/crates/sapphiretrack-core/src/placement/slot_retry.rs
@@ -30,12 +30,12 @@
     share: f64,
     refusal: FullServer,
 ) -> Option<RequesterLoad> {
-    let told = RequesterLoad {
+    let requester_load = RequesterLoad {
         least_in_flight: load.least_in_flight,
         live_servers: load.live_servers.max(u32::from(refusal.live_servers)),
     };
-    let limit = server_limit(bound, &load.with_requester_load(told), share);
-    (u32::from(refusal.held) < limit).then_some(told)
+    let limit = server_limit(bound, &load.with_requester_load(requester_load), share);
+    (u32::from(refusal.held) < limit).then_some(requester_load)
 }
 
 /// Sets the live servers of all refusals of a round to the highest count among them.
--- a/crates/sapphiretrack-core/src/placement/warm_list.rs
+++ b/crates/sapphiretrack-core/src/placement/warm_list.rs
@@ -59,7 +59,7 @@
 
     /// The hints, with `extra_age_ms` added to their ages. Chats whose server is not in the list
     /// are skipped.
-    pub fn places(&self, extra_age_ms: u64) -> impl Iterator<Item = (ChatKey, WarmHint)> {
+    pub fn hints(&self, extra_age_ms: u64) -> impl Iterator<Item = (ChatKey, WarmHint)> {
         self.chats.iter().filter_map(move |warm| {
             let (server, incarnation) = *self.servers.get(usize::from(warm.server))?;
             let hint = WarmHint {
--- a/crates/sapphiretrack-core/src/resignation.rs
+++ b/crates/sapphiretrack-core/src/resignation.rs
@@ -35,8 +35,8 @@
         let Some(leaving_from) = self.leaving_from else {
             return false;
         };
-        let knows = |peer: &RouterId| self.seen.get(peer).is_some_and(|at| *at >= leaving_from);
-        if self.has_resigned || successors.is_empty() || !successors.iter().all(knows) {
+        let has_seen = |peer: &RouterId| self.seen.get(peer).is_some_and(|at| *at >= leaving_from);
+        if self.has_resigned || successors.is_empty() || !successors.iter().all(has_seen) {
             return false;
         }
         self.has_resigned = true;
--- a/crates/sapphiretrack-core/src/server_roster.rs
+++ b/crates/sapphiretrack-core/src/server_roster.rs
@@ -137,7 +137,7 @@
             let Some(server) = self.servers.get_mut(&id) else {
                 continue;
             };
-            if server.take_record(record, now_ms) {
+            if server.apply_record(record, now_ms) {
                 changes.push(RosterChange::Leaving(record.name.clone()));
             }
         }
@@ -170,7 +170,7 @@
         server.failed_reports = 0;
         server.flaps.record(true, &damping, now_ms);
         server
-            .take_load(report, report.leaving, now_ms)
+            .apply_load(report, report.leaving, now_ms)
             .then(|| RosterChange::Leaving(server.record.name.clone()))
     }
 
@@ -187,7 +187,7 @@
         }
         let reported_ms = server.reported_ms;
         let leaving = sighting.state == VmState::Leaving;
-        let starts_leaving = server.take_load(sighting.report, leaving, now_ms);
+        let starts_leaving = server.apply_load(sighting.report, leaving, now_ms);
         server.is_reported_unreachable = !sighting.reachable;
         if sighting.reachable {
             server.failed_reports = 0;
@@ -234,11 +234,11 @@
         let settings = self.settings;
         let mut changes = Vec::new();
         self.servers.retain(|_, server| {
-            let keep = !server.is_gone(&settings, now_ms);
-            if !keep {
+            let is_kept = !server.is_gone(&settings, now_ms);
+            if !is_kept {
                 changes.push(RosterChange::Lost(server.record.name.clone()));
             }
-            keep
+            is_kept
         });
         changes
     }
@@ -323,7 +323,7 @@
     }
 
     /// Processes the server's entry in the list; returns whether it makes the server leave.
-    fn take_record(&mut self, record: &VmRecord, now_ms: u64) -> bool {
+    fn apply_record(&mut self, record: &VmRecord, now_ms: u64) -> bool {
         let was_leaving = self.is_leaving();
         let starts_leaving = record.state == VmState::Leaving && self.record.state == VmState::Live;
         self.record = record.clone();
@@ -338,7 +338,7 @@
     }
 
     /// Processes a load report; returns whether it makes the server leave.
-    fn take_load(&mut self, report: LoadReport, leaving: bool, now_ms: u64) -> bool {
+    fn apply_load(&mut self, report: LoadReport, leaving: bool, now_ms: u64) -> bool {
         let was_leaving = self.is_leaving();
         self.report = report;
         self.reported_ms = Some(now_ms);
--- a/crates/sapphiretrack-core/src/shared_tables.rs
+++ b/crates/sapphiretrack-core/src/shared_tables.rs
@@ -9,7 +9,7 @@
 use crate::{ClassPolicy, Contract};
 
 /// Maximum number of distinct tables of each kind to search; further ones are not shared.
-const MAX_KNOWN: usize = 64;
+const MAX_TABLES: usize = 64;
 
 /// The distinct tables found so far.
 #[derive(Default)]
@@ -22,7 +22,7 @@
     /// Collects the tables of existing contracts.
     pub(crate) fn of(contracts: &BTreeMap<String, Arc<Contract>>) -> Self {
         let mut tables = Self::default();
-        for contract in contracts.values().take(MAX_KNOWN) {
+        for contract in contracts.values().take(MAX_TABLES) {
             share(&mut tables.pools, &mut contract.pools.clone());
             share(&mut tables.classes, &mut contract.classes.clone());
         }
@@ -42,7 +42,7 @@
 {
     if let Some(equal) = known.iter().find(|known| *known == own) {
         *own = equal.clone();
-    } else if known.len() < MAX_KNOWN {
+    } else if known.len() < MAX_TABLES {
         known.push(own.clone());
     }
 }
--- a/crates/sapphiretrack-core/src/stewardship.rs
+++ b/crates/sapphiretrack-core/src/stewardship.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Consent {
     steward: RouterId,
-    wanted: RouterId,
+    preferred: RouterId,
     /// When the consent was last sent; `None` if the steward cannot count it any more.
     sent_ms: Option<u64>,
 }
@@ -62,23 +62,29 @@
     ///
     /// `may_begin` is false while the router does not see a majority of its cell. Then it gives no
     /// consent for a server that it has not consented for before.
-    pub fn set_wanted(&mut self, server: ServerId, wanted: RouterId, may_begin: bool, now_ms: u64) {
+    pub fn set_preferred(
+        &mut self,
+        server: ServerId,
+        preferred: RouterId,
+        may_begin: bool,
+        now_ms: u64,
+    ) {
         let handover_ms = self.settings.handover_ms();
         let Some(consent) = self.consents.get_mut(&server) else {
             if may_begin {
                 let consent = Consent {
-                    steward: wanted,
-                    wanted,
+                    steward: preferred,
+                    preferred,
                     sent_ms: Some(now_ms),
                 };
                 self.consents.insert(server, consent);
             }
             return;
         };
-        consent.wanted = wanted;
+        consent.preferred = preferred;
         let is_valid = |sent_ms: u64| now_ms.saturating_sub(sent_ms) < handover_ms;
-        if consent.steward != wanted && !consent.sent_ms.is_some_and(is_valid) {
-            consent.steward = wanted;
+        if consent.steward != preferred && !consent.sent_ms.is_some_and(is_valid) {
+            consent.steward = preferred;
         }
     }
 
@@ -112,13 +118,13 @@
     /// The router that this router consents to now; `None` until an earlier consent has expired.
     pub fn consent(&self, server: ServerId) -> Option<RouterId> {
         let consent = self.consents.get(&server)?;
-        (consent.steward == consent.wanted).then_some(consent.steward)
+        (consent.steward == consent.preferred).then_some(consent.steward)
     }
 
     /// Records that a heartbeat with this router's consents is sent to this steward.
     pub fn note_sent(&mut self, steward: RouterId, now_ms: u64) {
         for consent in self.consents.values_mut() {
-            if consent.steward == steward && consent.wanted == steward {
+            if consent.steward == steward && consent.preferred == steward {
                 consent.sent_ms = Some(now_ms);
             }
         }
--- a/crates/sapphiretrack-core/tests/overload.rs
+++ b/crates/sapphiretrack-core/tests/overload.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn refused_callers_are_told_to_retry_no_faster_than_requests_end() {
+fn refused_callers_retry_no_faster_than_requests_end() {
     let mut drain = DrainRate::new(0);
     for now_ms in (0..20_000).step_by(20) {
         drain.note_end(now_ms);
--- a/crates/sapphiretrack-core/tests/peer_roster.rs
+++ b/crates/sapphiretrack-core/tests/peer_roster.rs
@@ -2,7 +2,7 @@
 //! platform's list.
 
 use sapphiretrack_core::{
-    Contacts, Damping, EntryCandidate, HeartbeatResult, PauseWatch, PeerHeartbeat, PeerRoster,
+    Contacts, Damping, EntryCandidate, HeartbeatResult, PauseDetector, PeerHeartbeat, PeerRoster,
     PeerRosterSettings, RosterChange, RouterId, RouterProfile, VmRecord, VmRole, VmState,
     entry_addresses,
 };
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn leaving_in_the_list_is_final_even_if_the_router_and_a_later_list_say_live() {
+fn leaving_in_the_list_is_final_even_if_heartbeats_and_a_later_list_report_live() {
     let mut roster = roster();
     exchange_heartbeats(&mut roster, "a", 1, 0);
     roster.apply_list(&[record("a", VmState::Live)], 0);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn introduced_routers_are_contacted_until_they_are_heard_or_refused() {
+fn introduced_routers_are_contacted_until_they_are_seen_or_refused() {
     let mut roster = roster();
     let address = "127.0.0.1:9001".parse().expect("an address");
     roster.introduce(&[(id("a"), address), (id("b"), address), (id("me"), address)]);
@@ -234,10 +234,10 @@
 
 #[test]
 fn after_a_pause_a_router_keeps_its_peers_for_the_full_timeout() {
-    let mut watch = PauseWatch::default();
-    assert_eq!(watch.turn(0), None);
-    assert_eq!(watch.turn(100), None);
-    assert_eq!(watch.turn(30_100), Some(30_000));
+    let mut detector = PauseDetector::default();
+    assert_eq!(detector.record_iteration(0), None);
+    assert_eq!(detector.record_iteration(100), None);
+    assert_eq!(detector.record_iteration(30_100), Some(30_000));
     let mut roster = roster();
     exchange_heartbeats(&mut roster, "a", 1, 100);
     roster.reset_silence(30_100);
@@ -248,18 +248,18 @@
 
 #[test]
 fn a_router_is_isolated_without_platform_and_peers_unless_it_is_the_only_one() {
-    let hearing = Contacts {
+    let connected = Contacts {
         expects_others: true,
         peer_seen_ms: 1_000,
         platform_reached_ms: Some(2_000),
     };
-    assert!(!hearing.is_isolated(10_000, 11_999));
-    assert!(hearing.is_isolated(10_000, 12_000));
-    let alone = Contacts {
+    assert!(!connected.is_isolated(10_000, 11_999));
+    assert!(connected.is_isolated(10_000, 12_000));
+    let single = Contacts {
         expects_others: false,
-        ..hearing
+        ..connected
     };
-    assert!(!alone.is_isolated(10_000, 60_000));
+    assert!(!single.is_isolated(10_000, 60_000));
 }
 
 #[test]
--- a/crates/sapphiretrack-core/tests/placement.rs
+++ b/crates/sapphiretrack-core/tests/placement.rs
@@ -181,10 +181,10 @@
     }
     assert_eq!(small.get(ChatKey(1), 9_000), None);
     assert_eq!(small.len(), 8);
-    let recalled = small
+    let found = small
         .get(ChatKey(2), 9_000)
         .expect("it is not the oldest entry");
-    assert_eq!((recalled.server, recalled.age_ms), (ServerId(2), 7_000));
+    assert_eq!((found.server, found.age_ms), (ServerId(2), 7_000));
 }
 
 #[test]
@@ -321,10 +321,10 @@
         ..FullServer::default()
     });
     assert_eq!(server_limit(&bound, &outdated, 1.0), 8);
-    let told = load_for_repeated_request(&bound, &current, 1.0, refusals[0])
+    let requester_load = load_for_repeated_request(&bound, &current, 1.0, refusals[0])
         .expect("the server has capacity");
     assert_eq!(
-        server_limit(&bound, &outdated.with_requester_load(told), 1.0),
+        server_limit(&bound, &outdated.with_requester_load(requester_load), 1.0),
         10
     );
     // The steward's own counts are never lowered.
--- a/crates/sapphiretrack-core/tests/steward_changes.rs
+++ b/crates/sapphiretrack-core/tests/steward_changes.rs
@@ -4,8 +4,8 @@
 
 use common::{SERVER, listing, reserve};
 use sapphiretrack_core::{
-    CellView, ConsentSettings, EndedRuns, Grant, Ledger, LedgerSettings, Resignation, RouterId,
-    StewardConsents,
+    CellView, ConsentSettings, EndedIncarnations, Grant, Ledger, LedgerSettings, Resignation,
+    RouterId, StewardConsents,
 };
 
 fn view<'a>(live: &'a [RouterId], known: &'a [RouterId], ended: &'a [RouterId]) -> CellView<'a> {
@@ -19,20 +19,20 @@
 
 #[test]
 fn the_successor_of_a_steward_that_ended_gets_consent_at_once_and_for_the_usual_time() {
-    let mut names = StewardConsents::new(ConsentSettings::default());
+    let mut consents = StewardConsents::new(ConsentSettings::default());
     let (first, second) = (RouterId(1), RouterId(2));
-    names.set_wanted(SERVER, first, true, 0);
-    names.note_sent(first, 1_000);
-    assert!(!names.release(second), "it is not the steward");
-    names.set_wanted(SERVER, second, true, 1_001);
-    assert_eq!(names.consent(SERVER), None);
-    assert!(names.release(first));
-    names.set_wanted(SERVER, second, true, 1_002);
-    assert_eq!(names.consent(SERVER), Some(second));
-    names.note_sent(second, 1_003);
-    names.set_wanted(SERVER, first, true, 1_004);
+    consents.set_preferred(SERVER, first, true, 0);
+    consents.note_sent(first, 1_000);
+    assert!(!consents.release(second), "it is not the steward");
+    consents.set_preferred(SERVER, second, true, 1_001);
+    assert_eq!(consents.consent(SERVER), None);
+    assert!(consents.release(first));
+    consents.set_preferred(SERVER, second, true, 1_002);
+    assert_eq!(consents.consent(SERVER), Some(second));
+    consents.note_sent(second, 1_003);
+    consents.set_preferred(SERVER, first, true, 1_004);
     assert_eq!(
-        names.consent(SERVER),
+        consents.consent(SERVER),
         None,
         "the consent to the successor is still valid"
     );
@@ -128,38 +128,38 @@
 
 #[test]
 fn a_refused_connection_proves_the_end_of_only_the_incarnation_that_was_dialled() {
-    let mut endings = EndedRuns::default();
+    let mut ended = EndedIncarnations::default();
     let router = RouterId(1);
     assert!(
-        !endings.note_refused(router, 10, 20),
+        !ended.note_refused(router, 10, 20),
         "it has restarted in the meantime"
     );
-    assert!(!endings.has_ended(router, 20));
-    assert!(endings.note_refused(router, 20, 20));
-    assert!(!endings.note_refused(router, 20, 20), "it is already known");
-    assert!(endings.has_ended(router, 20));
-    assert!(!endings.has_ended(router, 30));
-    endings.note_seen(router, 30);
-    assert!(!endings.has_ended(router, 20));
+    assert!(!ended.has_ended(router, 20));
+    assert!(ended.note_refused(router, 20, 20));
+    assert!(!ended.note_refused(router, 20, 20), "it is already known");
+    assert!(ended.has_ended(router, 20));
+    assert!(!ended.has_ended(router, 30));
+    ended.note_seen(router, 30);
+    assert!(!ended.has_ended(router, 20));
 }
 
 #[test]
 fn refusals_prove_nothing_for_an_incarnation_that_was_seen_after_one() {
-    let mut endings = EndedRuns::default();
+    let mut ended = EndedIncarnations::default();
     let router = RouterId(1);
-    assert!(endings.note_refused(router, 20, 20));
-    endings.note_seen(router, 20);
-    assert!(!endings.has_ended(router, 20));
+    assert!(ended.note_refused(router, 20, 20));
+    ended.note_seen(router, 20);
+    assert!(!ended.has_ended(router, 20));
     assert!(
-        !endings.note_refused(router, 20, 20),
+        !ended.note_refused(router, 20, 20),
         "an earlier refusal was wrong"
     );
-    endings.note_seen(router, 30);
-    assert!(endings.note_refused(router, 30, 30), "a later incarnation");
+    ended.note_seen(router, 30);
+    assert!(ended.note_refused(router, 30, 30), "a later incarnation");
 }
 
 #[test]
-fn a_leaving_router_resigns_when_all_its_successors_know_that_it_is_leaving() {
+fn a_leaving_router_resigns_when_all_its_successors_have_seen_that_it_is_leaving() {
     let (first, second) = (RouterId(1), RouterId(2));
     let mut resignation = Resignation::default();
     resignation.note_seen(first, 9);
--- a/crates/sapphiretrack-core/tests/steward_faults.rs
+++ b/crates/sapphiretrack-core/tests/steward_faults.rs
@@ -5,8 +5,8 @@
 use common::{BOUND, SERVER, listing, reserve};
 use proptest::prelude::*;
 use sapphiretrack_core::{
-    CellView, ConsentSettings, EndedRuns, Grant, Ledger, LedgerSettings, ReservationId, RouterId,
-    StewardConsents,
+    CellView, ConsentSettings, EndedIncarnations, Grant, Ledger, LedgerSettings, ReservationId,
+    RouterId, StewardConsents,
 };
 
 const ROUTERS: usize = 5;
@@ -21,9 +21,9 @@
 struct Node {
     incarnation: u64,
     down_steps: usize,
-    names: StewardConsents,
+    consents: StewardConsents,
     ledger: Ledger,
-    endings: EndedRuns,
+    ended_incarnations: EndedIncarnations,
     has_resigned: bool,
     held: Vec<u32>,
     seen_ms: [Option<u64>; ROUTERS],
@@ -35,9 +35,9 @@
         Self {
             incarnation,
             down_steps: 0,
-            names: StewardConsents::new(ConsentSettings::default()),
+            consents: StewardConsents::new(ConsentSettings::default()),
             ledger: Ledger::new(RouterId(index as u64), LedgerSettings::default()),
-            endings: EndedRuns::default(),
+            ended_incarnations: EndedIncarnations::default(),
             has_resigned: false,
             held: Vec::new(),
             seen_ms: [None; ROUTERS],
@@ -54,8 +54,11 @@
     fn handle_refusal(&mut self, peer: usize, dialled: u64) {
         let router = RouterId(peer as u64);
         let newest = self.known_incarnation[peer];
-        if self.endings.note_refused(router, dialled, newest) {
-            self.names.release(router);
+        if self
+            .ended_incarnations
+            .note_refused(router, dialled, newest)
+        {
+            self.consents.release(router);
             self.seen_ms[peer] = None;
         }
     }
@@ -66,7 +69,7 @@
 enum Event {
     Nothing,
     /// Its view now makes this router the steward.
-    Wants(usize),
+    Prefers(usize),
     /// Its link to this router is cut, or restored.
     Cut(usize),
     /// The routers in the mask are partitioned from the others; mask 0 restores all links.
@@ -80,7 +83,7 @@
 fn any_event() -> impl Strategy<Value = (usize, Event)> {
     let event = prop_oneof![
         24 => Just(Event::Nothing),
-        8 => (0..ROUTERS).prop_map(Event::Wants),
+        8 => (0..ROUTERS).prop_map(Event::Prefers),
         2 => (0..ROUTERS).prop_map(Event::Cut),
         1 => (0..1_usize << ROUTERS).prop_map(Event::Partition),
         2 => Just(Event::Dies),
@@ -94,7 +97,7 @@
 struct Simulation {
     now_ms: u64,
     nodes: Vec<Node>,
-    wanted: [usize; ROUTERS],
+    preferred: [usize; ROUTERS],
     is_cut: [[bool; ROUTERS]; ROUTERS],
     /// End times of the requests of crashed routers.
     orphaned: Vec<u64>,
@@ -106,7 +109,7 @@
         Self {
             now_ms: 0,
             nodes: (0..ROUTERS).map(|index| Node::new(index, 1)).collect(),
-            wanted: [0; ROUTERS],
+            preferred: [0; ROUTERS],
             is_cut: [[false; ROUTERS]; ROUTERS],
             orphaned: Vec::new(),
             last_reservation: 0,
@@ -129,7 +132,7 @@
         let node = &mut self.nodes[index];
         match event {
             Event::Nothing => {}
-            Event::Wants(steward) => self.wanted[index] = steward,
+            Event::Prefers(steward) => self.preferred[index] = steward,
             Event::Cut(peer) => self.is_cut[index][peer] ^= true,
             Event::Partition(mask) => {
                 let side = |router: usize| mask >> router & 1;
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Updates the view of each router, as the daemon does on each turn.
+    /// Updates the view of each router, as the daemon does in each tick.
     fn update_views(&mut self) {
         let now_ms = self.now_ms;
         let reported = self.running() as u32;
@@ -180,31 +183,32 @@
                 continue;
             }
             let me = RouterId(index as u64);
-            let is_heard = |peer: &RouterId| {
+            let is_seen = |peer: &RouterId| {
                 let seen_ms = node.seen_ms[peer.0 as usize];
                 *peer == me || seen_ms.is_some_and(|at_ms| now_ms - at_ms < SILENT_MS)
             };
-            let live: Vec<RouterId> = known.iter().copied().filter(is_heard).collect();
-            let ended: Vec<RouterId> = node.endings.routers().collect();
-            let is_own = node.names.consent(SERVER) == Some(me);
-            node.names.note_sent(me, now_ms);
+            let live: Vec<RouterId> = known.iter().copied().filter(is_seen).collect();
+            let ended: Vec<RouterId> = node.ended_incarnations.routers().collect();
+            let is_own = node.consents.consent(SERVER) == Some(me);
+            node.consents.note_sent(me, now_ms);
             let cell = CellView {
                 stewarded: if is_own { &[SERVER] } else { &[] },
                 live: &live,
                 known: &known,
                 ended: &ended,
             };
-            if node.names.steward(SERVER) == Some(me) {
+            if node.consents.steward(SERVER) == Some(me) {
                 node.ledger.note_report(SERVER, reported, now_ms);
             }
             node.ledger.set_view(&cell, now_ms);
             if node.has_resigned {
-                node.names.release(me);
+                node.consents.release(me);
             }
             let may_begin = node.ledger.sees_majority();
-            let wanted = RouterId(self.wanted[index] as u64);
-            if live.contains(&wanted) && (wanted != me || !node.has_resigned) {
-                node.names.set_wanted(SERVER, wanted, may_begin, now_ms);
+            let preferred = RouterId(self.preferred[index] as u64);
+            if live.contains(&preferred) && (preferred != me || !node.has_resigned) {
+                node.consents
+                    .set_preferred(SERVER, preferred, may_begin, now_ms);
             }
             if is_own {
                 let own = listing(&node.held, self.last_reservation);
@@ -223,8 +227,8 @@
                     continue;
                 }
                 let sender = &mut self.nodes[from];
-                let consents = sender.names.consent(SERVER) == Some(target);
-                sender.names.note_sent(target, now_ms);
+                let has_consent = sender.consents.consent(SERVER) == Some(target);
+                sender.consents.note_sent(target, now_ms);
                 let slots = listing(&sender.held, self.last_reservation);
                 let (incarnation, has_resigned) = (sender.incarnation, sender.has_resigned);
                 let addressed_incarnation = sender.known_incarnation[to];
@@ -233,35 +237,35 @@
                 }
                 let receiver = &mut self.nodes[to];
                 receiver.seen_ms[from] = Some(now_ms);
-                receiver.endings.note_seen(router, incarnation);
+                receiver.ended_incarnations.note_seen(router, incarnation);
                 if has_resigned || receiver.known_incarnation[from] != incarnation {
-                    receiver.names.release(router);
+                    receiver.consents.release(router);
                 }
                 receiver.known_incarnation[from] = incarnation;
                 // Consent sent to an earlier incarnation does not apply to this one.
-                if consents && addressed_incarnation == receiver.incarnation {
+                if has_consent && addressed_incarnation == receiver.incarnation {
                     receiver.ledger.reconcile(router, &slots, now_ms);
                 }
             }
         }
     }
 
-    fn ask_for_slots(&mut self) {
-        for asker in 0..ROUTERS {
-            let Some(steward) = self.nodes[asker].names.steward(SERVER) else {
+    fn request_slots(&mut self) {
+        for requester in 0..ROUTERS {
+            let Some(steward) = self.nodes[requester].consents.steward(SERVER) else {
                 continue;
             };
             let steward = steward.0 as usize;
-            let is_reached = asker == steward || self.is_linked(asker, steward);
+            let is_reached = requester == steward || self.is_linked(requester, steward);
             let serves = self.nodes[steward].is_up() && !self.nodes[steward].has_resigned;
-            if !self.nodes[asker].is_up() || !is_reached || !serves {
+            if !self.nodes[requester].is_up() || !is_reached || !serves {
                 continue;
             }
             self.last_reservation += 1;
-            let router = RouterId(asker as u64);
+            let router = RouterId(requester as u64);
             let ledger = &mut self.nodes[steward].ledger;
             if reserve(ledger, router, self.last_reservation, self.now_ms) == Grant::Granted {
-                self.nodes[asker].held.push(self.last_reservation);
+                self.nodes[requester].held.push(self.last_reservation);
             }
         }
     }
@@ -296,7 +300,7 @@
             simulation.dial(tried);
             simulation.update_views();
             simulation.send_heartbeats();
-            simulation.ask_for_slots();
+            simulation.request_slots();
             let running = simulation.running();
             prop_assert!(running <= BOUND, "{running} requests run, the bound is {BOUND}, after step {step}: {event:?} of router {index}");
             simulation.end_requests(step);
--- a/crates/sapphiretrack-core/tests/stewardship.rs
+++ b/crates/sapphiretrack-core/tests/stewardship.rs
@@ -8,7 +8,7 @@
 
 const SERVER: ServerId = ServerId(7);
 
-fn ask(router: RouterId, reservation: u32) -> ReserveRequest {
+fn slot_request(router: RouterId, reservation: u32) -> ReserveRequest {
     ReserveRequest {
         router,
         reservation: ReservationId(reservation),
@@ -54,21 +54,24 @@
     let mut ledger = Ledger::new(routers[0], LedgerSettings::default());
     ledger.set_view(&view(&routers, &routers), 0);
     assert_eq!(
-        reserve(&mut ledger, &ask(routers[0], 1), 0),
+        reserve(&mut ledger, &slot_request(routers[0], 1), 0),
         Grant::NotSteward
     );
     ledger.reconcile(routers[1], &listing(&[4], 5), 10);
     assert_eq!(
-        reserve(&mut ledger, &ask(routers[0], 1), 10),
+        reserve(&mut ledger, &slot_request(routers[0], 1), 10),
         Grant::NotSteward
     );
     ledger.reconcile(routers[2], &listing(&[], 0), 20);
     assert_eq!(
-        reserve(&mut ledger, &ask(routers[0], 1), 20),
+        reserve(&mut ledger, &slot_request(routers[0], 1), 20),
         Grant::Granted
     );
     assert_eq!(ledger.held(SERVER), Some(2));
-    assert_eq!(reserve(&mut ledger, &ask(routers[2], 1), 20), Grant::Full);
+    assert_eq!(
+        reserve(&mut ledger, &slot_request(routers[2], 1), 20),
+        Grant::Full
+    );
 }
 
 #[test]
@@ -79,10 +82,13 @@
     ledger.set_view(&view(&routers, &routers), 0);
     ledger.reconcile(routers[1], &listing(&[], 0), 0);
     ledger.reconcile(routers[2], &listing(&[], 0), 0);
-    assert_eq!(reserve(&mut ledger, &ask(routers[0], 1), 1), Grant::Granted);
+    assert_eq!(
+        reserve(&mut ledger, &slot_request(routers[0], 1), 1),
+        Grant::Granted
+    );
     let expired_ms = settings.consent.consent_ms;
     ledger.set_view(&view(&[routers[0]], &routers), expired_ms);
-    let late = reserve(&mut ledger, &ask(routers[0], 2), expired_ms);
+    let late = reserve(&mut ledger, &slot_request(routers[0], 2), expired_ms);
     assert_eq!(late, Grant::NotSteward);
 }
 
@@ -93,7 +99,7 @@
     ledger.set_view(&view(&routers[..1], &routers), 0);
     assert!(!ledger.sees_majority());
     assert_eq!(
-        reserve(&mut ledger, &ask(routers[0], 1), 0),
+        reserve(&mut ledger, &slot_request(routers[0], 1), 0),
         Grant::NotSteward
     );
 }
@@ -116,7 +122,7 @@
     assert_eq!(ledger.held(SERVER), Some(0));
     // The server itself still reports two requests that no router lists.
     ledger.note_report(SERVER, 2, after_ms);
-    let request = ask(routers[0], 9);
+    let request = slot_request(routers[0], 9);
     assert_eq!(reserve(&mut ledger, &request, after_ms), Grant::Full);
     // A single lower report is not enough, because a slot that is listed but was refused hides a
     // request.
@@ -140,7 +146,7 @@
     ledger.reconcile(routers[1], &listing(&[1, 2], 3), after_ms);
     ledger.note_report(SERVER, 2, after_ms);
     ledger.reconcile(routers[1], &listing(&[1], 3), after_ms);
-    let request = ask(routers[0], 9);
+    let request = slot_request(routers[0], 9);
     assert_eq!(reserve(&mut ledger, &request, after_ms), Grant::Full);
 }
 
@@ -152,7 +158,7 @@
     ledger.set_view(&view(&[me, other], &[me, other]), 0);
     ledger.reconcile(other, &listing(&[], u32::MAX - 1), 0);
     assert_eq!(
-        reserve(&mut ledger, &ask(other, u32::MAX), 1),
+        reserve(&mut ledger, &slot_request(other, u32::MAX), 1),
         Grant::Granted
     );
     // This list was sent before the grant, so it says nothing about the later id.
@@ -166,24 +172,28 @@
 #[test]
 fn a_router_consents_to_a_new_steward_only_after_its_earlier_consent_has_expired() {
     let settings = ConsentSettings::default();
-    let mut names = StewardConsents::new(settings);
+    let mut consents = StewardConsents::new(settings);
     let (first, second) = (RouterId(1), RouterId(2));
-    names.set_wanted(SERVER, first, false, 0);
-    assert_eq!(names.consent(SERVER), None, "it does not see its cell yet");
-    names.set_wanted(SERVER, first, true, 0);
-    names.note_sent(first, 1_000);
-    names.set_wanted(SERVER, second, true, 1_001);
-    assert_eq!(names.consent(SERVER), None);
-    assert_eq!(names.steward(SERVER), Some(first));
-    names.set_wanted(SERVER, second, true, 1_000 + settings.handover_ms() - 1);
-    assert_eq!(names.consent(SERVER), None);
-    names.set_wanted(SERVER, second, true, 1_000 + settings.handover_ms());
-    assert_eq!(names.consent(SERVER), Some(second));
+    consents.set_preferred(SERVER, first, false, 0);
+    assert_eq!(
+        consents.consent(SERVER),
+        None,
+        "it does not see its cell yet"
+    );
+    consents.set_preferred(SERVER, first, true, 0);
+    consents.note_sent(first, 1_000);
+    consents.set_preferred(SERVER, second, true, 1_001);
+    assert_eq!(consents.consent(SERVER), None);
+    assert_eq!(consents.steward(SERVER), Some(first));
+    consents.set_preferred(SERVER, second, true, 1_000 + settings.handover_ms() - 1);
+    assert_eq!(consents.consent(SERVER), None);
+    consents.set_preferred(SERVER, second, true, 1_000 + settings.handover_ms());
+    assert_eq!(consents.consent(SERVER), Some(second));
 }
 
 /// One router of the property test.
 struct Node {
-    names: StewardConsents,
+    consents: StewardConsents,
     ledger: Ledger,
     held: Vec<u32>,
 }
@@ -198,21 +208,21 @@
         let mut nodes: Vec<Node> = routers
             .iter()
             .map(|id| Node {
-                names: StewardConsents::new(ConsentSettings::default()),
+                consents: StewardConsents::new(ConsentSettings::default()),
                 ledger: Ledger::new(*id, LedgerSettings::default()),
                 held: Vec::new(),
             })
             .collect();
-        let mut wanted = [0_usize; 5];
+        let mut preferred = [0_usize; 5];
         let mut next = 0;
         for (step, (changed, steward, cuts)) in changes.into_iter().enumerate() {
             let now_ms = step as u64 * 700;
-            wanted[changed] = steward;
+            preferred[changed] = steward;
             for index in 0..5 {
                 let node = &mut nodes[index];
-                node.names.set_wanted(SERVER, routers[wanted[index]], true, now_ms);
-                let is_own = node.names.consent(SERVER) == Some(routers[index]);
-                node.names.note_sent(routers[index], now_ms);
+                node.consents.set_preferred(SERVER, routers[preferred[index]], true, now_ms);
+                let is_own = node.consents.consent(SERVER) == Some(routers[index]);
+                node.consents.note_sent(routers[index], now_ms);
                 let stewarded = [SERVER];
                 let view = CellView {
                     stewarded: if is_own { &stewarded } else { &[] },
@@ -223,21 +233,21 @@
                 node.ledger.set_view(&view, now_ms);
             }
             for from in 0..5 {
-                let Some(to) = nodes[from].names.consent(SERVER) else { continue };
+                let Some(to) = nodes[from].consents.consent(SERVER) else { continue };
                 let to = to.0 as usize - 1;
                 let is_cut = cuts >> (from * 5 + to) & 1 == 1;
-                nodes[from].names.note_sent(routers[to], now_ms);
+                nodes[from].consents.note_sent(routers[to], now_ms);
                 if to != from && !is_cut {
                     let slots = listing(&nodes[from].held, next);
                     nodes[to].ledger.reconcile(routers[from], &slots, now_ms);
                 }
             }
-            for (asker, router) in routers.iter().enumerate() {
-                let Some(steward) = nodes[asker].names.steward(SERVER) else { continue };
+            for (requester, router) in routers.iter().enumerate() {
+                let Some(steward) = nodes[requester].consents.steward(SERVER) else { continue };
                 let steward = steward.0 as usize - 1;
-                let request = ask(*router, next);
+                let request = slot_request(*router, next);
                 if reserve(&mut nodes[steward].ledger, &request, now_ms) == Grant::Granted {
-                    nodes[asker].held.push(next);
+                    nodes[requester].held.push(next);
                 }
                 next += 1;
             }
--- a/crates/sapphiretrack-core/tests/warm_memory.rs
+++ b/crates/sapphiretrack-core/tests/warm_memory.rs
@@ -62,7 +62,7 @@
     let list = WarmList::new(hints);
     assert_eq!(list.servers.len(), 3);
     let mut ages: Vec<_> = list
-        .places(1_000)
+        .hints(1_000)
         .map(|(chat, hint)| (chat.0, hint.age_ms))
         .collect();
     ages.sort_unstable();
@@ -74,7 +74,7 @@
 fn a_chat_whose_server_is_not_listed_is_skipped() {
     let mut list = WarmList::new([(ChatKey(1), hint(1, 0)), (ChatKey(2), hint(2, 0))]);
     list.servers.pop();
-    assert_eq!(list.places(0).count(), 1);
+    assert_eq!(list.hints(0).count(), 1);
 }
 
 #[test]
--- a/crates/sapphiretrackd/src/parts.rs
+++ b/crates/sapphiretrackd/src/components.rs
@@ -51,7 +51,7 @@
 }
 
 /// The components that the threads of a router share.
-pub(crate) struct Parts {
+pub(crate) struct Components {
     pub(crate) clock: Clock,
     pub(crate) control: ControlHandle,
     pub(crate) commands: CommandReceiver,
@@ -64,7 +64,7 @@
     pub(crate) memory: Arc<WarmMemory>,
 }
 
-impl Parts {
+impl Components {
     pub(crate) fn new(settings: &Settings) -> Self {
         let (control, commands) = control_channel(RouterId::from_name(&settings.router_name));
         let key = SigningKey::new(&settings.cell_key);
@@ -237,9 +237,9 @@
                 let operations = outcome_of.clone();
                 Box::pin(async move { operations.outcome_of(change_id).await })
             }),
-            show: Arc::new(move |asked| {
+            show: Arc::new(move |query| {
                 let operations = show.clone();
-                Box::pin(async move { operations.show(&asked).await })
+                Box::pin(async move { operations.show(&query).await })
             }),
             history: Arc::new(move |()| {
                 let operations = history.clone();
@@ -274,7 +274,7 @@
             isolated_after_ms: settings.isolated_after_ms,
             report_stale_after_ms: REPORT_STALE_AFTER_MS,
         };
-        let parts = ControlLoop {
+        let control_loop = ControlLoop {
             clock: self.clock,
             state: ControlState::new(
                 identity,
@@ -290,7 +290,7 @@
             fetching_config: Arc::default(),
             vm_list_refresh: Arc::new(Notify::new()),
         };
-        run_control(parts, self.control, self.commands)
+        run_control(control_loop, self.control, self.commands)
     }
 }
 
--- a/crates/sapphiretrackd/src/control/budgets.rs
+++ b/crates/sapphiretrackd/src/control/budgets.rs
@@ -49,18 +49,18 @@
     /// Answers a router that asks for budget of a customer, as the customer's steward.
     pub(crate) fn grant(
         &mut self,
-        ask: &BudgetRequest,
+        request: &BudgetRequest,
         contract: &Contract,
         share: f64,
         now_ms: u64,
     ) -> BudgetReply {
         // Leases granted by the previous steward may still be valid.
-        let knows_holders = now_ms.saturating_sub(self.stewards_changed_ms) >= BUDGET_LEASE_MS;
+        let are_holders_known = now_ms.saturating_sub(self.stewards_changed_ms) >= BUDGET_LEASE_MS;
         let budget = self
             .customers
-            .entry(ask.customer.clone())
-            .or_insert_with(|| CustomerBudget::new(&contract.limits, knows_holders, now_ms));
-        BudgetReply::Answered(budget.answer(ask, &contract.limits, share, now_ms))
+            .entry(request.customer.clone())
+            .or_insert_with(|| CustomerBudget::new(&contract.limits, are_holders_known, now_ms));
+        BudgetReply::Answered(budget.answer(request, &contract.limits, share, now_ms))
     }
 }
 
@@ -72,29 +72,33 @@
 
 impl ControlState {
     /// Returns the peer that is the customer's steward, or this router's own answer if no peer is.
-    pub(crate) fn lease_budget(&mut self, ask: BudgetRequest, now_ms: u64) -> BudgetRoute {
-        let steward = budget_steward(&ask.customer, &self.stewards);
+    pub(crate) fn lease_budget(&mut self, request: BudgetRequest, now_ms: u64) -> BudgetRoute {
+        let steward = budget_steward(&request.customer, &self.stewards);
         let peer = steward.and_then(|steward| Some((steward, self.peers.get(steward)?)));
         match peer {
             Some((steward, peer)) => BudgetRoute::Peer {
                 steward,
                 address: peer.profile.peer_address,
-                ask,
+                request,
             },
-            None => BudgetRoute::Local(self.answer_budget_ask(&ask, now_ms)),
+            None => BudgetRoute::Local(self.answer_budget_request(&request, now_ms)),
         }
     }
 
     /// Answers a budget request, with `NotSteward` if this router is not the steward or does not
     /// know the customer's contract.
-    pub(super) fn answer_budget_ask(&mut self, ask: &BudgetRequest, now_ms: u64) -> BudgetReply {
-        let steward = budget_steward(&ask.customer, &self.stewards);
-        let contract = self.config.contracts.get(&ask.customer);
+    pub(super) fn answer_budget_request(
+        &mut self,
+        request: &BudgetRequest,
+        now_ms: u64,
+    ) -> BudgetReply {
+        let steward = budget_steward(&request.customer, &self.stewards);
+        let contract = self.config.contracts.get(&request.customer);
         match contract {
             Some(contract) if steward == Some(self.identity.id) => {
                 let contract = contract.clone();
                 let share = self.budget_share(now_ms);
-                self.budgets.grant(ask, &contract, share, now_ms)
+                self.budgets.grant(request, &contract, share, now_ms)
             }
             _ => BudgetReply::NotSteward,
         }
--- a/crates/sapphiretrackd/src/control/configuration.rs
+++ b/crates/sapphiretrackd/src/control/configuration.rs
@@ -18,8 +18,8 @@
     /// `dead_after_ms`.
     pub(super) fn peers_seen(&self, now_ms: u64) -> bool {
         let seen = 1 + self.peers.iter().count();
-        let all_heard = !self.lacks_vm_list() && seen >= self.peers.expected_routers();
-        all_heard || now_ms >= self.timing.dead_after_ms
+        let all_seen = !self.lacks_vm_list() && seen >= self.peers.expected_routers();
+        all_seen || now_ms >= self.timing.dead_after_ms
     }
 
     /// The address of the peer with the newest configuration, if that is newer than this router's.
--- a/crates/sapphiretrackd/src/control/endings.rs
+++ b/crates/sapphiretrackd/src/control/ended_stewards.rs
@@ -24,7 +24,10 @@
         if dialled != newest {
             return;
         }
-        if self.ended_runs.note_refused(router, dialled, newest) {
+        if self
+            .ended_incarnations
+            .note_refused(router, dialled, newest)
+        {
             self.release_consents(router);
         }
         let change = self.peers.note_refused(router, now_ms);
--- a/crates/sapphiretrackd/src/control/handle.rs
+++ b/crates/sapphiretrackd/src/control/handle.rs
@@ -84,7 +84,7 @@
     /// A traffic thread asks for budget of a customer.
     LeaseBudget {
         /// The amounts that the router holds and asks for.
-        ask: BudgetRequest,
+        request: BudgetRequest,
         /// Receives the reply.
         reply: oneshot::Sender<BudgetRoute>,
     },
@@ -173,7 +173,7 @@
         /// The address at which it serves peers.
         address: SocketAddr,
         /// The amounts that the router holds and asks for.
-        ask: BudgetRequest,
+        request: BudgetRequest,
     },
 }
 
@@ -217,9 +217,9 @@
     }
 
     /// Asks for budget of a customer; none if the control thread has ended.
-    pub(crate) async fn lease_budget(&self, ask: BudgetRequest) -> Option<BudgetRoute> {
+    pub(crate) async fn lease_budget(&self, request: BudgetRequest) -> Option<BudgetRoute> {
         let (reply, receiver) = oneshot::channel();
-        self.send(Command::LeaseBudget { ask, reply });
+        self.send(Command::LeaseBudget { request, reply });
         receiver.await.ok()
     }
 
--- a/crates/sapphiretrackd/src/control/heartbeats.rs
+++ b/crates/sapphiretrackd/src/control/heartbeats.rs
@@ -49,7 +49,7 @@
 struct SentHeartbeat {
     sequence: u64,
     answered: bool,
-    knows_profile: bool,
+    has_profile: bool,
     counts: Counts,
 }
 
@@ -75,9 +75,9 @@
     /// sent if the peer answered the previous heartbeat.
     fn in_flight_for(&mut self, router: RouterId, counts: &Counts) -> (InFlight, bool) {
         let sent = self.sent.entry(router).or_default();
-        let whole = !sent.answered;
-        let knows_profile = sent.knows_profile;
-        let counts_to_send = if whole {
+        let is_complete = !sent.answered;
+        let has_profile = sent.has_profile;
+        let counts_to_send = if is_complete {
             counts
                 .iter()
                 .map(|(server, count)| (*server, *count))
@@ -88,14 +88,14 @@
         *sent = SentHeartbeat {
             sequence: self.sequence,
             answered: false,
-            knows_profile,
+            has_profile,
             counts: counts.clone(),
         };
         let in_flight = InFlight {
-            whole,
+            whole: is_complete,
             counts: counts_to_send,
         };
-        (in_flight, knows_profile)
+        (in_flight, has_profile)
     }
 
     /// Updates the counts of a peer with those of its heartbeat.
@@ -141,13 +141,13 @@
         let counts = self.own_in_flight_counts();
         let mut outgoing = Vec::with_capacity(targets.len());
         for (router, address) in targets {
-            let (in_flight, knows_profile) = self.heartbeat_tracker.in_flight_for(router, &counts);
+            let (in_flight, has_profile) = self.heartbeat_tracker.in_flight_for(router, &counts);
             let mut heartbeat = self.base_heartbeat(&sightings, now_ms);
             heartbeat.in_flight = in_flight;
             self.consents.note_sent(router, now_ms);
             heartbeat.held = self.held_slots_for(router);
             heartbeat.seen_sequence = self.peers.seen_sequence(router);
-            if !knows_profile {
+            if !has_profile {
                 heartbeat.profile = Some(Box::new(self.identity.profile.clone()));
             }
             outgoing.push(OutgoingHeartbeat {
@@ -175,15 +175,16 @@
             config_version: heartbeat.config_version,
             profile: heartbeat.profile.as_deref().cloned(),
         };
-        let run_before = self.peers.known_incarnation(router);
+        let incarnation_before = self.peers.known_incarnation(router);
         let version_before = self.peers.get(router).map(|peer| peer.config_version);
-        let taken = self.peers.apply_heartbeat(&summary, now_ms);
-        if let HeartbeatResult::Accepted { change } = &taken {
+        let result = self.peers.apply_heartbeat(&summary, now_ms);
+        if let HeartbeatResult::Accepted { change } = &result {
             self.handle_peer_changes(change.as_slice());
-            self.ended_runs.note_seen(router, heartbeat.incarnation);
+            self.ended_incarnations
+                .note_seen(router, heartbeat.incarnation);
             self.resignation.note_seen(router, heartbeat.seen_sequence);
-            let is_other_run = heartbeat.incarnation != run_before;
-            let has_stopped_granting = heartbeat.has_resigned() || is_other_run;
+            let is_other_incarnation = heartbeat.incarnation != incarnation_before;
+            let has_stopped_granting = heartbeat.has_resigned() || is_other_incarnation;
             let has_released = has_stopped_granting && self.release_consents(router);
             if change.is_some() || has_released {
                 // Before the held slots are read: this change may make this router steward of the
@@ -196,7 +197,7 @@
         }
         HeartbeatReply {
             config_version: self.config.version,
-            wants_whole: taken == HeartbeatResult::NeedsProfile,
+            wants_whole: result == HeartbeatResult::NeedsProfile,
             known_incarnation: self.peers.known_incarnation(router),
             introduced: if heartbeat.profile.is_some() {
                 self.introductions(router)
@@ -222,7 +223,7 @@
                 *sent = SentHeartbeat::default();
             } else if sent.sequence == sequence {
                 sent.answered = true;
-                sent.knows_profile = true;
+                sent.has_profile = true;
             }
         }
         if reply.known_incarnation > self.identity.incarnation {
--- a/crates/sapphiretrackd/src/control/mod.rs
+++ b/crates/sapphiretrackd/src/control/mod.rs
@@ -11,7 +11,7 @@
 
 mod budgets;
 mod configuration;
-mod endings;
+mod ended_stewards;
 mod handle;
 mod heartbeats;
 mod load;
--- a/crates/sapphiretrackd/src/control/slots.rs
+++ b/crates/sapphiretrackd/src/control/slots.rs
@@ -235,7 +235,7 @@
             .collect();
         known.extend(&live);
         let known: Vec<RouterId> = known.into_iter().collect();
-        let ended: Vec<RouterId> = self.ended_runs.routers().collect();
+        let ended: Vec<RouterId> = self.ended_incarnations.routers().collect();
         let view = CellView {
             stewarded: &stewarded,
             live: &live,
@@ -252,7 +252,8 @@
         }
         for server in all {
             if let Some(steward) = steward_of(server, &self.stewards) {
-                self.consents.set_wanted(server, steward, may_begin, now_ms);
+                self.consents
+                    .set_preferred(server, steward, may_begin, now_ms);
             }
         }
     }
--- a/crates/sapphiretrackd/src/control/state.rs
+++ b/crates/sapphiretrackd/src/control/state.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use sapphiretrack_core::{
-    ConfigOffer, ConsentSettings, Contacts, EndedRuns, FleetConfig, Incarnation, KeyIndex, Ledger,
-    LedgerSettings, LoadBound, LoadReport, PauseWatch, PeerRoster, PeerRosterSettings,
+    ConfigOffer, ConsentSettings, Contacts, EndedIncarnations, FleetConfig, Incarnation, KeyIndex,
+    Ledger, LedgerSettings, LoadBound, LoadReport, PauseDetector, PeerRoster, PeerRosterSettings,
     ReservationId, Resignation, RosterChange, RouterId, RouterProfile, ServerId, ServerRoster,
     ServerRosterSettings, StewardBackoff, StewardBackoffSettings, StewardConsents, VmRecord,
     VmState, adopt_if_newer, hash_parts,
@@ -62,7 +62,7 @@
     /// The stewards that this router consents to.
     pub(super) consents: StewardConsents,
     /// Incarnations of peers that are proven to have ended.
-    pub(super) ended_runs: EndedRuns,
+    pub(super) ended_incarnations: EndedIncarnations,
     /// Whether this router has resigned as steward because it is leaving.
     pub(super) resignation: Resignation,
     /// Stewards that are not asked for a moment because they did not reply or are no stewards.
@@ -87,7 +87,7 @@
     pub(super) urgent_rounds: u8,
     /// Addresses from the settings, used while no peer is seen.
     seeds: Vec<SocketAddr>,
-    pause_watch: PauseWatch,
+    pause_detector: PauseDetector,
     platform_reached_ms: Option<u64>,
     platform_was_reached: bool,
     peers_were_seen: bool,
@@ -112,7 +112,7 @@
         Self {
             ledger: Ledger::new(identity.id, ledger_settings(&timing)),
             consents: StewardConsents::new(ledger_settings(&timing).consent),
-            ended_runs: EndedRuns::default(),
+            ended_incarnations: EndedIncarnations::default(),
             resignation: Resignation::default(),
             steward_backoff: StewardBackoff::new(StewardBackoffSettings::default()),
             load_tracker: LoadTracker::default(),
@@ -137,7 +137,7 @@
             changed: true,
             urgent_rounds: 0,
             seeds,
-            pause_watch: PauseWatch::default(),
+            pause_detector: PauseDetector::default(),
             platform_reached_ms: None,
             platform_was_reached: false,
             peers_were_seen: false,
@@ -204,8 +204,8 @@
         self.config_known = true;
         let version = offered.version.to_string();
         let older = offered.version < self.config.version;
-        let refreshed = adopt_if_newer(&mut self.config, offered);
-        match refreshed {
+        let result = adopt_if_newer(&mut self.config, offered);
+        match result {
             ConfigOffer::Adopted => {
                 self.changed = true;
                 self.keys = Arc::new(KeyIndex::new(&self.config));
@@ -216,7 +216,7 @@
             }
             ConfigOffer::Ignored => {}
         }
-        refreshed
+        result
     }
 
     /// Applies the result of fetching a load report; none if the call failed.
@@ -265,8 +265,8 @@
             PeerRequest::Reserve(request) => self.reserve_for_peer(&request, None, now_ms),
             PeerRequest::ReserveAgain {
                 request,
-                known_load: told,
-            } => self.reserve_for_peer(&request, Some(told), now_ms),
+                known_load,
+            } => self.reserve_for_peer(&request, Some(known_load), now_ms),
             PeerRequest::Release {
                 router,
                 server,
@@ -282,8 +282,8 @@
             PeerRequest::FetchConfigSince { version, change_id } => {
                 self.config_changes_reply(version, &change_id)
             }
-            PeerRequest::LeaseBudget(ask) => {
-                PeerReply::Budget(self.answer_budget_ask(&ask, now_ms))
+            PeerRequest::LeaseBudget(request) => {
+                PeerReply::Budget(self.answer_budget_request(&request, now_ms))
             }
             // Warm chats are not part of the control state; they are handled before a request gets
             // here.
@@ -301,7 +301,7 @@
     /// After a pause this router does not know whether it is still the steward of any server. It
     /// grants nothing until its peers have seen a new heartbeat and sent the slots that they hold.
     pub(crate) fn detect_pause(&mut self, now_ms: u64) {
-        let Some(gap_ms) = self.pause_watch.turn(now_ms) else {
+        let Some(gap_ms) = self.pause_detector.record_iteration(now_ms) else {
             return;
         };
         Event::CONTROL_THREAD_PAUSED.log(&[("gap_ms", &gap_ms.to_string())]);
--- a/crates/sapphiretrackd/src/control/thread.rs
+++ b/crates/sapphiretrackd/src/control/thread.rs
@@ -147,8 +147,8 @@
                 sequence,
                 reply,
             } => self.handle_heartbeat_reply(router, address, sequence, &reply, handle),
-            Command::LeaseBudget { ask, reply } => {
-                drop(reply.send(self.state.lease_budget(ask, now_ms)));
+            Command::LeaseBudget { request, reply } => {
+                drop(reply.send(self.state.lease_budget(request, now_ms)));
             }
             Command::Stop => {
                 self.state.stop();
@@ -195,10 +195,10 @@
     }
 
     fn offer_config(&mut self, config: Arc<FleetConfig>) -> ConfigOffer {
-        let refreshed = self.state.offer_config(config);
+        let result = self.state.offer_config(config);
         let version = self.state.config_version();
         self.metrics.config_version.set(version as i64);
-        refreshed
+        result
     }
 
     /// Starts fetching a newer configuration from a peer, unless no peer has one or a fetch is in
--- a/crates/sapphiretrackd/src/daemon.rs
+++ b/crates/sapphiretrackd/src/daemon.rs
@@ -15,12 +15,12 @@
 use tokio::sync::Notify;
 
 use crate::clock::wall_clock_ms;
+use crate::components::{Components, Endpoints};
 use crate::control::{Command, ControlHandle, Identity};
 use crate::error::{DaemonError, PeersSnafu, ThreadSnafu};
 use crate::events::Event;
 use crate::hand_over::{HandOver, hand_over_memory};
 use crate::metrics::Metrics;
-use crate::parts::{Endpoints, Parts};
 use crate::settings::Settings;
 use crate::signals::stop_signals;
 use crate::stopping::Stopping;
@@ -72,16 +72,17 @@
                 .context(ThreadSnafu {
                     what: "control runtime",
                 })?;
-        let parts = Parts::new(&settings);
+        let components = Components::new(&settings);
         let key = SigningKey::new(&settings.cell_key);
-        let starting = sapphiretrack_peer::serve(settings.peer_address, key, parts.peer_handlers());
+        let starting =
+            sapphiretrack_peer::serve(settings.peer_address, key, components.peer_handlers());
         let (peer_address, accepting) = control_runtime.block_on(starting).context(PeersSnafu {
             address: settings.peer_address,
         })?;
-        let endpoints = parts.start_endpoints(&settings, &traffic)?;
-        let claims = ClaimStore::new(parts.platform.clone());
-        traffic.spawn(sweep_claims(claims, parts.control.clone()));
-        let (hand_over, snapshots) = (parts.hand_over(), parts.warm_snapshots(&settings));
+        let endpoints = components.start_endpoints(&settings, &traffic)?;
+        let claims = ClaimStore::new(components.platform.clone());
+        traffic.spawn(sweep_claims(claims, components.control.clone()));
+        let (hand_over, snapshots) = (components.hand_over(), components.warm_snapshots(&settings));
         traffic.spawn(snapshots.clone().run());
         let identity = Identity {
             id: RouterId::from_name(&settings.router_name),
@@ -95,12 +96,12 @@
             },
         };
         let (control, stop, stopping, metrics) = (
-            parts.control.clone(),
-            parts.stop.clone(),
-            parts.stopping.clone(),
-            parts.metrics.clone(),
+            components.control.clone(),
+            components.stop.clone(),
+            components.stopping.clone(),
+            components.metrics.clone(),
         );
-        let control_loop = parts.control_loop(&settings, identity);
+        let control_loop = components.control_loop(&settings, identity);
         std::thread::Builder::new()
             .name(String::from("control"))
             .spawn(move || {
--- a/crates/sapphiretrackd/src/dispatch/chat.rs
+++ b/crates/sapphiretrackd/src/dispatch/chat.rs
@@ -13,10 +13,10 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::control::Snapshot;
-use crate::dispatch::claimed::{AtMostOnce, ClaimOutcome, HeldClaim};
+use crate::dispatch::claims::{AtMostOnce, ClaimOutcome, HeldClaim};
+use crate::dispatch::completion::{ChatCompletion, collect_completion, replay_completion};
 use crate::dispatch::slots::Slot;
-use crate::dispatch::warm::{encode_warm_hint, parse_warm_hint};
-use crate::dispatch::whole::{ChatCompletion, collect_completion, replay_completion};
+use crate::dispatch::warm_hint::{encode_warm_hint, parse_warm_hint};
 use crate::dispatch::{Dispatcher, chat_key, new_attempt, workspace_key};
 use crate::limits::InFlightPermit;
 
@@ -229,7 +229,7 @@
             return Vec::new();
         };
         let from_caller = self.request.warm.as_deref().and_then(parse_warm_hint);
-        let from_memory = self.dispatcher.memory.recall(self.chat);
+        let from_memory = self.dispatcher.memory.get(self.chat);
         let warm: Vec<WarmHint> = from_caller.into_iter().chain(from_memory).collect();
         let workspace = workspace_key(&self.request);
         let placement = PlacementRequest {
@@ -341,7 +341,7 @@
             tokens: self.call().map_or(0, |call| call.prompt_tokens),
             age_ms: 0,
         };
-        self.dispatcher.memory.remember(self.chat, hint);
+        self.dispatcher.memory.insert(self.chat, hint);
         let metrics = &self.dispatcher.metrics;
         let labels = metrics.labels(&self.request.contract.customer, &self.request.class);
         metrics.record_first_token(&labels, self.started_at.elapsed().as_secs_f64());
--- a/crates/sapphiretrackd/src/dispatch/health.rs
+++ b/crates/sapphiretrackd/src/dispatch/health.rs
@@ -23,8 +23,12 @@
 impl Health {
     /// Removes ejected servers from the candidates.
     pub(crate) fn filter(&self, candidates: Vec<Candidate>, now_ms: u64) -> Vec<Candidate> {
-        self.outliers()
-            .filter(candidates, |one| one.server, rand::random(), now_ms)
+        self.outliers().filter(
+            candidates,
+            |candidate| candidate.server,
+            rand::random(),
+            now_ms,
+        )
     }
 
     /// Records the result of an attempt. Returns true if it ejects the server.
--- a/crates/sapphiretrackd/src/dispatch/mod.rs
+++ b/crates/sapphiretrackd/src/dispatch/mod.rs
@@ -2,14 +2,14 @@
 
 mod attempts;
 mod chat;
-mod claimed;
+mod claims;
+mod completion;
 mod health;
-mod leaving;
-mod once;
+mod leaving_servers;
+mod non_idempotent;
 mod service;
 mod slots;
-mod warm;
-mod whole;
+mod warm_hint;
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
@@ -97,7 +97,7 @@
             .non_idempotent_rule(request.pool(), request.path())
             .cloned();
         if let Some(rule) = rule {
-            return once::run_once(self, request, &rule, permit).await;
+            return non_idempotent::run_at_most_once(self, request, &rule, permit).await;
         }
         match &request.target {
             Target::Chat(_) => chat::run_chat(self, request, permit, None).await,
--- a/crates/sapphiretrackd/src/dispatch/once.rs
+++ b/crates/sapphiretrackd/src/dispatch/non_idempotent.rs
@@ -14,7 +14,7 @@
 use sapphiretrack_platform::{ClaimWriteResult, PlatformError};
 
 use crate::clock::wall_clock_ms;
-use crate::dispatch::claimed::{AtMostOnce, ClaimOutcome, ClaimRow, HeldClaim};
+use crate::dispatch::claims::{AtMostOnce, ClaimOutcome, ClaimRow, HeldClaim};
 use crate::dispatch::service::{ServiceRun, into_answer};
 use crate::dispatch::{Dispatcher, chat, new_attempt};
 use crate::events::Event;
@@ -38,7 +38,7 @@
 /// Runs a non-idempotent request at most once.
 ///
 /// The request continues if the caller disconnects so that its answer is recorded.
-pub(crate) async fn run_once(
+pub(crate) async fn run_at_most_once(
     dispatcher: Arc<Dispatcher>,
     request: CallerRequest,
     rule: &NonIdempotentRule,
--- a/crates/sapphiretrackd/src/dispatch/slots.rs
+++ b/crates/sapphiretrackd/src/dispatch/slots.rs
@@ -75,30 +75,35 @@
     /// Waits briefly for capacity, or for the change of a steward, if that is expected to help.
     pub(crate) async fn reserve(
         &self,
-        wanted: &SlotRequest<'_>,
+        slot_request: &SlotRequest<'_>,
         candidates: &[Candidate],
     ) -> Option<Slot> {
         let started_at = Instant::now();
         let mut waited_ms = 0;
         loop {
             let snapshot = self.control.snapshot();
-            let lacks_steward = match self.reserve_with_retry(&snapshot, wanted, candidates).await {
+            let lacks_steward = match self
+                .reserve_with_retry(&snapshot, slot_request, candidates)
+                .await
+            {
                 Ok(slot) => return Some(slot),
                 Err(failed) => failed.lacks_steward,
             };
-            let pool = snapshot.pools.get(wanted.pool)?;
-            let left = wanted.deadline.saturating_duration_since(Instant::now());
+            let pool = snapshot.pools.get(slot_request.pool)?;
+            let left = slot_request
+                .deadline
+                .saturating_duration_since(Instant::now());
             let left_ms = left.as_millis() as u64;
             let settings = WaitSettings::default();
             // Requests of a shed class do not wait.
-            let is_shed = wanted.bound_share < SHED_BELOW_SHARE;
-            let room_wait_ms =
+            let is_shed = slot_request.bound_share < SHED_BELOW_SHARE;
+            let capacity_wait_ms =
                 capacity_retry_delay_ms(&settings, pool.in_flight(), waited_ms, left_ms);
             let elapsed_ms = started_at.elapsed().as_millis() as u64;
             let steward_wait_ms = lacks_steward
                 .then(|| steward_retry_delay_ms(&settings, elapsed_ms, left_ms))
                 .flatten();
-            let wait = room_wait_ms.into_iter().chain(steward_wait_ms).min();
+            let wait = capacity_wait_ms.into_iter().chain(steward_wait_ms).min();
             let wait_ms = wait.filter(|_| !is_shed)?;
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             waited_ms += wait_ms;
@@ -110,45 +115,50 @@
     async fn reserve_with_retry(
         &self,
         snapshot: &Snapshot,
-        wanted: &SlotRequest<'_>,
+        slot_request: &SlotRequest<'_>,
         candidates: &[Candidate],
     ) -> Result<Slot, FailedRound> {
         let untried = candidates
             .iter()
-            .filter(|candidate| !wanted.tried.contains(&candidate.server));
+            .filter(|candidate| !slot_request.tried.contains(&candidate.server));
         let untried = untried.take(MAX_TRIED_SERVERS).copied();
         let first: Vec<SlotCandidate> = untried.map(|candidate| (candidate, None)).collect();
-        let mut failed = match self.reserve_first_granted(snapshot, wanted, &first).await {
+        let mut failed = match self
+            .reserve_first_granted(snapshot, slot_request, &first)
+            .await
+        {
             Ok(slot) => return Ok(slot),
             Err(failed) => failed,
         };
         let mut full = std::mem::take(&mut failed.full);
         raise_live_servers_to_max(full.iter_mut().filter_map(|(_, counts)| counts.as_mut()));
-        let slot = self.reserve_first_granted(snapshot, wanted, &full).await;
+        let slot = self
+            .reserve_first_granted(snapshot, slot_request, &full)
+            .await;
         slot.map_err(|_| failed)
     }
 
     async fn reserve_first_granted(
         &self,
         snapshot: &Snapshot,
-        wanted: &SlotRequest<'_>,
+        slot_request: &SlotRequest<'_>,
         candidates: &[SlotCandidate],
     ) -> Result<Slot, FailedRound> {
         let mut failed = FailedRound::default();
-        let Some(pool) = snapshot.pools.get(wanted.pool) else {
+        let Some(pool) = snapshot.pools.get(slot_request.pool) else {
             return Err(failed);
         };
         for (candidate, refusal) in candidates {
             let Some(server) = pool.server(candidate.server) else {
                 continue;
             };
-            let wish = ReservationRequest {
+            let reservation_request = ReservationRequest {
                 server: candidate.server,
-                bound_share: wanted.bound_share,
+                bound_share: slot_request.bound_share,
                 uncached_tokens: candidate.uncached_tokens,
                 refusal: *refusal,
             };
-            let reservation = match self.reserve_on_server(wish, snapshot).await {
+            let reservation = match self.reserve_on_server(reservation_request, snapshot).await {
                 Ok(reservation) => reservation,
                 Err(SlotRefusal::Full(counts)) => {
                     failed.full.push((*candidate, Some(counts)));
@@ -177,11 +187,11 @@
     /// Reserves a slot on one server.
     async fn reserve_on_server(
         &self,
-        wish: ReservationRequest,
+        reservation_request: ReservationRequest,
         snapshot: &Snapshot,
     ) -> Result<Reservation, SlotRefusal> {
         // There is no reply only if the control thread has ended.
-        let begun = self.control.begin_reservation(wish).await;
+        let begun = self.control.begin_reservation(reservation_request).await;
         let begun = begun.ok_or(SlotRefusal::WithoutCounts)?;
         let reservation = Reservation {
             control: self.control.clone(),
@@ -198,8 +208,8 @@
                 let request = ReserveRequest {
                     router: snapshot.me,
                     reservation: begun.reservation,
-                    server: wish.server,
-                    bound_share: wish.bound_share as f32,
+                    server: reservation_request.server,
+                    bound_share: reservation_request.bound_share as f32,
                     in_flight: begun.in_flight,
                 };
                 let granted = self
--- a/crates/sapphiretrackd/src/lib.rs
+++ b/crates/sapphiretrackd/src/lib.rs
@@ -1,6 +1,7 @@
 //! The router daemon: the control thread, the dispatch of requests and the endpoints.
 
 mod clock;
+mod components;
 mod control;
 mod daemon;
 mod dispatch;
@@ -13,7 +14,6 @@
 mod logging;
 mod metrics;
 mod operations;
-mod parts;
 mod settings;
 mod signals;
 mod stopping;
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -158,14 +158,16 @@
     ) -> Result<(), Shortage> {
         let started_ms = self.clock.now_ms();
         loop {
-            let asked_ms = self.clock.now_ms();
-            let ask = entry.lock().ask(self.router, &entry.customer, Some(tokens));
-            let answer = self.lease_from_steward(ask).await;
+            let requested_ms = self.clock.now_ms();
+            let request = entry
+                .lock()
+                .budget_request(self.router, &entry.customer, Some(tokens));
+            let answer = self.lease_from_steward(request).await;
             let now_ms = self.clock.now_ms();
             if let Some((steward, grant)) = answer {
                 let mut held = entry.lock();
                 held.record_steward(steward);
-                return held.apply_grant(&grant, tokens, asked_ms, now_ms);
+                return held.apply_grant(&grant, tokens, requested_ms, now_ms);
             }
             self.use_emergency_share(entry, contract);
             match entry.lock().try_admit(tokens, &contract.limits, now_ms) {
@@ -238,19 +240,20 @@
         let Some(contract) = config.contracts.get(&entry.customer) else {
             return;
         };
-        let asked_ms = self.clock.now_ms();
-        let ask = entry
-            .lock()
-            .end_period(self.router, &entry.customer, &contract.limits, asked_ms);
-        let Some(ask) = ask else { return };
-        let Some((steward, grant)) = self.lease_from_steward(ask).await else {
+        let requested_ms = self.clock.now_ms();
+        let request =
+            entry
+                .lock()
+                .end_period(self.router, &entry.customer, &contract.limits, requested_ms);
+        let Some(request) = request else { return };
+        let Some((steward, grant)) = self.lease_from_steward(request).await else {
             return self.use_emergency_share(entry, contract);
         };
         let now_ms = self.clock.now_ms();
         let mut held = entry.lock();
         held.record_steward(steward);
         // No request waits for this grant, so a shortage refuses none.
-        let _ignored = held.apply_grant(&grant, 0.0, asked_ms, now_ms);
+        let _ignored = held.apply_grant(&grant, 0.0, requested_ms, now_ms);
     }
 
     /// Decides from the budget held here. Returns `None` if the steward has to be asked.
@@ -272,15 +275,15 @@
     }
 
     /// Asks the steward for budget. Returns `None` if it does not answer or is not the steward.
-    async fn lease_from_steward(&self, ask: BudgetRequest) -> Option<(RouterId, BudgetGrant)> {
-        let (steward, reply) = match self.control.lease_budget(ask).await? {
+    async fn lease_from_steward(&self, request: BudgetRequest) -> Option<(RouterId, BudgetGrant)> {
+        let (steward, reply) = match self.control.lease_budget(request).await? {
             BudgetRoute::Local(reply) => (self.router, reply),
             BudgetRoute::Peer {
                 steward,
                 address,
-                ask,
+                request,
             } => {
-                let reply = self.peers.lease_budget(address, ask).await;
+                let reply = self.peers.lease_budget(address, request).await;
                 if reply.as_ref().is_err_and(PeerError::is_connection_refused) {
                     self.control
                         .send(Command::StewardConnectionRefused { address });
--- a/crates/sapphiretrackd/src/operations.rs
+++ b/crates/sapphiretrackd/src/operations.rs
@@ -88,9 +88,12 @@
     }
 
     /// Returns a customer's contract, in its current or a given version.
-    pub(crate) async fn show(&self, show: &ContractQuery) -> Result<Option<ContractReply>, String> {
-        let customer = show.customer.as_str();
-        let found = match show.version {
+    pub(crate) async fn show(
+        &self,
+        query: &ContractQuery,
+    ) -> Result<Option<ContractReply>, String> {
+        let customer = query.customer.as_str();
+        let found = match query.version {
             Some(version) => self.store.contract_at(customer, version).await,
             None => self.store.contract(customer).await,
         };
--- a/crates/sapphiretrackd/src/warm_memory.rs
+++ b/crates/sapphiretrackd/src/warm_memory.rs
@@ -29,28 +29,28 @@
     }
 
     /// Records where a chat is served now.
-    pub(crate) fn remember(&self, chat: ChatKey, place: WarmHint) {
-        self.lock().insert(chat, place, self.clock.now_ms());
+    pub(crate) fn insert(&self, chat: ChatKey, hint: WarmHint) {
+        self.lock().insert(chat, hint, self.clock.now_ms());
     }
 
     /// Returns where a chat was last served.
-    pub(crate) fn recall(&self, chat: ChatKey) -> Option<WarmHint> {
+    pub(crate) fn get(&self, chat: ChatKey) -> Option<WarmHint> {
         self.lock().get(chat, self.clock.now_ms())
     }
 
-    /// Merges what another router knew `more_ms` ago. Returns how many entries were new or
+    /// Merges what another router knew `extra_age_ms` ago. Returns how many entries were new or
     /// newer than the known ones.
-    pub(crate) fn merge(&self, list: &WarmList, more_ms: u64) -> usize {
-        let entries: Vec<_> = list.places(more_ms).collect();
+    pub(crate) fn merge(&self, list: &WarmList, extra_age_ms: u64) -> usize {
+        let entries: Vec<_> = list.hints(extra_age_ms).collect();
         let mut added = 0;
         for part in entries.chunks(CHUNK_SIZE) {
             let now_ms = self.clock.now_ms();
             let mut memory = self.lock();
             let recent = part
                 .iter()
-                .filter(|(_, place)| place.age_ms <= MAX_WARM_AGE_MS);
+                .filter(|(_, hint)| hint.age_ms <= MAX_WARM_AGE_MS);
             added += recent
-                .filter(|(chat, place)| memory.merge(*chat, *place, now_ms))
+                .filter(|(chat, hint)| memory.merge(*chat, *hint, now_ms))
                 .count();
         }
         added
