--- a/crates/sapphiretrack-core/src/attempt.rs
+++ b/crates/sapphiretrack-core/src/attempt.rs
@@ -11,7 +11,7 @@
 /// Maximum idle timeout of a stream.
 const MAX_IDLE_TIMEOUT_MS: u64 = 10_000;
 
-/// Whether a request may be run more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeatable {
     /// The request is idempotent.
@@ -40,8 +40,8 @@
 
 /// The state machine of a request's attempts.
 ///
-/// It always knows whether the request may have run, so that an error answer reports the correct
-/// outcome whenever the request ends.
+/// It tracks whether the request may have run, so that an error answer reports the correct outcome
+/// at any time.
 #[derive(Clone, Debug)]
 pub struct AttemptLog {
     repeatable: Repeatable,
--- a/crates/sapphiretrack-core/src/bound.rs
+++ b/crates/sapphiretrack-core/src/bound.rs
@@ -51,10 +51,10 @@
 }
 
 impl PoolLoad {
-    /// Combines this load with the one that another router knows.
+    /// Combines this load with that in the view of another router.
     ///
     /// Both request counts are lower bounds, so the higher one applies. The higher server count
-    /// applies as well, since a server counts as soon as one of the routers knows it.
+    /// applies as well, since a server counts as soon as one of the routers sees it.
     pub fn with_requester_load(self, other: RequesterLoad) -> Self {
         let least_in_flight = self.least_in_flight.max(other.least_in_flight);
         Self {
--- a/crates/sapphiretrack-core/src/budget.rs
+++ b/crates/sapphiretrack-core/src/budget.rs
@@ -13,8 +13,8 @@
 
 /// Fraction of a burst that all routers together may hold in advance.
 pub const HELD_SHARE: f64 = 0.2;
-/// Fraction of a budget that a new steward starts with while it may not know all holders; at least
-/// one request.
+/// Fraction of a budget that a new steward starts with while routers unknown to it may hold a part;
+/// at least one request.
 pub const NEW_STEWARD_SHARE: f64 = 0.125;
 /// Lease duration, counted from the last request that the steward received from the holder.
 pub const BUDGET_LEASE_MS: u64 = 1_500;
@@ -47,11 +47,11 @@
     pub returned: Amounts,
     /// Tokens of the caller's request that waits for the reply; `None` if none waits.
     pub need_tokens: Option<f64>,
-    /// Amounts that the router wants to lease in advance.
+    /// Amounts to lease to the router in advance.
     pub ahead: Amounts,
     /// The router's requests in flight, without the waiting one.
     pub in_flight: u32,
-    /// In-flight slots that the router wants to lease in advance.
+    /// In-flight slots to lease to the router in advance.
     pub slots_ahead: u32,
 }
 
@@ -60,7 +60,7 @@
 pub enum BudgetReply {
     /// The router is the steward and grants or refuses.
     Answered(BudgetGrant),
-    /// The router does not consider itself the customer's steward.
+    /// The router is not the customer's steward in its own view.
     NotSteward,
 }
 
@@ -84,14 +84,14 @@
     Admitted,
     /// The request or token rate is used up.
     RateUsedUp {
-        /// Delay before the next try.
+        /// Delay before the next attempt.
         retry_after_ms: u64,
         /// Whether a request of any size would be refused.
         any_size: bool,
     },
     /// No in-flight slot is free.
     SlotsUsedUp {
-        /// Delay before the next try.
+        /// Delay before the next attempt.
         retry_after_ms: u64,
     },
 }
@@ -119,8 +119,7 @@
 impl CustomerBudget {
     /// Creates a customer's budget at a new steward.
     ///
-    /// If the steward does not know all holders, it grants only a part until earlier leases have
-    /// expired.
+    /// If some holders may be unknown, it grants only a part until their leases have expired.
     pub fn new(limits: &Limits, are_holders_known: bool, now_ms: u64) -> Self {
         let burst_s = limits.burst_s * (1.0 - HELD_SHARE);
         let mut requests = RateLimiter::new(limits.requests_per_s, burst_s, now_ms);
--- a/crates/sapphiretrack-core/src/cell.rs
+++ b/crates/sapphiretrack-core/src/cell.rs
@@ -11,7 +11,7 @@
 pub struct Cell {
     /// The cell.
     pub id: CellId,
-    /// Its weight, from the number of its backend servers; a cell of weight 0 takes no new work.
+    /// Its weight, from the number of its backend servers; a cell of weight 0 accepts no new work.
     pub weight: f64,
 }
 
--- a/crates/sapphiretrack-core/src/ended_incarnations.rs
+++ b/crates/sapphiretrack-core/src/ended_incarnations.rs
@@ -1,4 +1,4 @@
-//! Router incarnations proven to have ended, so that no timeout has to expire for them.
+//! Router incarnations proven to have ended, so that their timeouts need not be awaited.
 
 use std::collections::BTreeMap;
 
--- a/crates/sapphiretrack-core/src/fair_share.rs
+++ b/crates/sapphiretrack-core/src/fair_share.rs
@@ -37,8 +37,8 @@
     pub wanted: f64,
 }
 
-/// Splits a capacity by weighted max-min fairness: no claimant gets more than it wants, and unused
-/// capacity is split between the others by weight.
+/// Splits a capacity by weighted max-min fairness: no claimant gets more than its demand, and
+/// unused capacity is split between the others by weight.
 pub fn fair_shares(capacity: f64, demands: &[Demand]) -> Vec<f64> {
     let mut shares = vec![0.0; demands.len()];
     let mut open: Vec<usize> = (0..demands.len()).collect();
--- a/crates/sapphiretrack-core/src/flap.rs
+++ b/crates/sapphiretrack-core/src/flap.rs
@@ -3,12 +3,11 @@
 /// Times for flap damping.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damping {
-    /// How long a VM is held back after its second remembered failure; doubles with each further
-    /// one.
+    /// How long a VM is held back after its second counted failure; doubles with each further one.
     pub hold_ms: u64,
     /// Maximum time to hold a VM back.
     pub max_hold_ms: u64,
-    /// Earlier failures are forgotten after the VM was up for this long.
+    /// Earlier failures are no longer counted after the VM was up for this long.
     pub forget_after_ms: u64,
 }
 
--- a/crates/sapphiretrack-core/src/held_budget.rs
+++ b/crates/sapphiretrack-core/src/held_budget.rs
@@ -10,24 +10,25 @@
 const LEASE_MARGIN_MS: u64 = 200;
 /// Amount to lease in advance, as a multiple of the amount used per period.
 const AHEAD_FACTOR: f64 = 1.25;
-/// Requests per period from which on a router leases in advance. Below, it asks for each request.
+/// Requests per period from which on a router leases in advance. Below that, it contacts the
+/// steward for each request.
 const BUSY_REQUESTS: f64 = 2.0;
 /// A busy router renews early if it holds less than this fraction of its average use per period.
 const LOW_SHARE: f64 = 0.5;
 /// Leases are renewed this long before they expire.
 const RENEW_BEFORE_END_MS: u64 = 600;
-/// Bounds of the time for which a refusal is reused without asking the steward again; within them
-/// it is the steward's retry delay.
+/// Bounds of the time for which a refusal is reused without contacting the steward again; within
+/// them, the time is the steward's retry delay.
 const REFUSAL_KEPT_MS: RangeInclusive<u64> = 200..=400;
 /// Retry delay for callers if the steward did not answer.
 pub const NO_STEWARD_RETRY_MS: u64 = 250;
 
-/// Admission decision that a router makes without asking the steward.
+/// Admission decision that a router makes from its leased budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// The request may run; it counts as in flight until [`HeldBudget::leave`].
     Admitted,
-    /// The steward has to be asked.
+    /// The steward has to decide.
     Ask,
     /// The request is refused.
     Refused(Shortage),
@@ -73,7 +74,8 @@
     emergency: Option<EmergencyBudget>,
 }
 
-/// The steward's last refusal, reused briefly so that a surge does not ask for each request.
+/// The steward's last refusal, reused briefly so that a surge of requests does not cause a message
+/// for each.
 #[derive(Clone, Copy, Debug)]
 struct CachedRefusal {
     shortage: Shortage,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Decides on a request with what is held.
+    /// Decides on a request from the held amounts and slots.
     pub fn try_admit(&mut self, tokens: f64, limits: &Limits, now_ms: u64) -> Admission {
         self.refresh_lease(limits, now_ms);
         let enough = self.held.requests >= 1.0 && self.held.tokens >= tokens;
--- a/crates/sapphiretrack-core/src/ledger.rs
+++ b/crates/sapphiretrack-core/src/ledger.rs
@@ -56,7 +56,7 @@
     Granted,
     /// The server has reached its load bound for this class.
     Full,
-    /// This router is not the server's steward, or does not know all slot holders yet.
+    /// This router is not the server's steward, or may not grant its slots now.
     NotSteward,
 }
 
@@ -65,7 +65,7 @@
 /// Listing a server also gives the sender's consent to the receiver as its steward.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HeldSlots {
-    /// Reservations from this id on are newer than this message, which says nothing about them.
+    /// Reservations from this id on are newer than this message, which does not cover them.
     pub next_reservation: u32,
     /// Reservations held or requested, for each server whose steward is the receiver in the
     /// sender's view; a server without reservations has an empty list.
--- a/crates/sapphiretrack-core/src/membership.rs
+++ b/crates/sapphiretrack-core/src/membership.rs
@@ -123,7 +123,7 @@
     pub report: LoadReport,
     /// The router that counts its slots.
     pub steward: RouterId,
-    /// Whether it has just joined. It then counts for the load bound, but gets no requests until
+    /// Whether it joined recently. It then counts for the load bound, but gets no requests until
     /// all routers have had time to see it.
     pub is_joining: bool,
     /// Prompt tokens that it still has to compute, as estimated by this router.
--- a/crates/sapphiretrack-core/src/outcome.rs
+++ b/crates/sapphiretrack-core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes and refusals: what a caller learns about the end of its request.
+//! Outcomes and refusals: what is reported to a caller when its request ends.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/sapphiretrack-core/src/peer_heartbeat.rs
+++ b/crates/sapphiretrack-core/src/peer_heartbeat.rs
@@ -6,7 +6,7 @@
 
 use crate::{Incarnation, RosterChange, RouterId, VmState};
 
-/// Properties of a router that rarely change; sent only to peers that do not know them.
+/// Properties of a router that rarely change; sent only to peers that do not have them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterProfile {
     /// Its name.
--- a/crates/sapphiretrack-core/src/peer_roster.rs
+++ b/crates/sapphiretrack-core/src/peer_roster.rs
@@ -8,8 +8,8 @@
     RouterProfile, VmRecord, VmRole, VmState,
 };
 
-/// Maximum number of routers whose last heartbeat is remembered, so that a replay of it does not
-/// add a lost router again. Also the maximum number of introduced routers.
+/// Maximum number of routers whose last heartbeat is recorded, so that a replay of it does not add
+/// a lost router again. Also the maximum number of introduced routers.
 const MAX_REMEMBERED: usize = 1_024;
 /// How long a lost router is announced to peers.
 const ANNOUNCE_LOST_MS: u64 = 1_000;
@@ -338,7 +338,7 @@
         1 + listed + seen.filter(|peer| peer.state == VmState::Live).count()
     }
 
-    /// Routers lost so recently that peers may not know it yet.
+    /// Routers lost so recently that their loss is still announced to peers.
     pub fn recently_lost(&self, now_ms: u64) -> Vec<RouterId> {
         let records = self.records.iter().filter(|(router, record)| {
             let is_recent = record
--- a/crates/sapphiretrack-core/src/placement/memory.rs
+++ b/crates/sapphiretrack-core/src/placement/memory.rs
@@ -8,8 +8,8 @@
 /// Size of one entry, in bytes.
 pub const MEMORY_BYTES_PER_CHAT: usize = size_of::<Entry>();
 
-/// Offset of the stored times, in seconds. The router's clock starts at 0, and with the offset the
-/// hints that other routers recorded before that keep their order.
+/// Offset of the stored times, in seconds. The router's clock starts at 0, and with the offset
+/// hints that other routers recorded before that time keep their order.
 const CLOCK_OFFSET_S: u64 = 1 << 30;
 
 const _: () = assert!(MEMORY_BYTES_PER_CHAT <= 64, "a chat takes at most 64 bytes");
--- a/crates/sapphiretrack-core/src/placement/slot_retry.rs
+++ b/crates/sapphiretrack-core/src/placement/slot_retry.rs
@@ -4,7 +4,7 @@
 
 use crate::{LoadBound, PoolLoad, RequesterLoad, server_limit};
 
-/// Counts that a steward sends with a refusal, so that the requesting router learns the pool's
+/// Counts that a steward sends with a refusal, so that the requesting router gets the pool's
 /// current load.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FullServer {
@@ -12,7 +12,7 @@
     pub held: u16,
     /// The steward's own requests in flight on the server's pool.
     pub in_flight: u16,
-    /// The number of live servers of the pool that the steward knows.
+    /// The number of live servers of the pool in the steward's view.
     pub live_servers: u16,
 }
 
@@ -20,10 +20,10 @@
 /// refuse again.
 ///
 /// A steward's counts of the other routers' requests are up to one heartbeat old, and it computes
-/// the load bound from a lower bound of the requests that remain. While load is rising, all
-/// servers of a pool may therefore refuse requests although they have capacity. Each refusal
-/// carries the steward's own count, so that a router that was refused by all stewards knows the
-/// current load and can send it to them.
+/// the load bound from a lower bound of the requests that remain. While load is rising, all servers
+/// of a pool may therefore refuse requests although they have capacity. Each refusal carries the
+/// steward's own count, so that a router that was refused by all stewards has the current load and
+/// can send it to them.
 pub fn load_for_repeated_request(
     bound: &LoadBound,
     load: &PoolLoad,
@@ -40,8 +40,8 @@
 
 /// Sets the live servers of all refusals of a round to the highest count among them.
 ///
-/// Routers learn of a new server at different times, but the load bound has to count a server as
-/// soon as one router knows it.
+/// A new server becomes visible to routers at different times, but the load bound has to count it
+/// as soon as one router sees it.
 pub fn raise_live_servers_to_max<'a, Refusals>(refusals: Refusals)
 where
     Refusals: Iterator<Item = &'a mut FullServer>,
--- a/crates/sapphiretrack-core/src/placement/steward_backoff.rs
+++ b/crates/sapphiretrack-core/src/placement/steward_backoff.rs
@@ -7,9 +7,10 @@
 /// How long a router sends no slot requests to a steward after a failure.
 #[derive(Clone, Copy, Debug)]
 pub struct StewardBackoffSettings {
-    /// After a call that got no reply; applies to all servers of the steward.
+    /// Backoff after a call that got no reply; applies to all servers of the steward.
     pub silent_ms: u64,
-    /// After a reply that the called router is not the server's steward; applies to this server.
+    /// Backoff after a reply that the called router is not the server's steward; applies to this
+    /// server.
     pub not_steward_ms: u64,
 }
 
@@ -48,7 +49,7 @@
         self.silent_until_ms.insert(steward, until_ms);
     }
 
-    /// Records a sign of life of a router, such as a reply or a heartbeat.
+    /// Records that a router replied or sent a heartbeat.
     pub fn note_seen(&mut self, router: RouterId) {
         self.silent_until_ms.remove(&router);
     }
--- a/crates/sapphiretrack-core/src/resignation.rs
+++ b/crates/sapphiretrack-core/src/resignation.rs
@@ -29,8 +29,8 @@
         self.seen.insert(peer, sequence);
     }
 
-    /// Resigns if all other routers that may be stewards know that this router is leaving; returns
-    /// whether it resigned in this call.
+    /// Resigns if all other routers that may be stewards have seen that this router is leaving;
+    /// returns whether it resigned in this call.
     pub fn try_resign(&mut self, successors: &[RouterId]) -> bool {
         let Some(leaving_from) = self.leaving_from else {
             return false;
--- a/crates/sapphiretrack-core/src/server_roster.rs
+++ b/crates/sapphiretrack-core/src/server_roster.rs
@@ -13,7 +13,7 @@
 
 /// Consecutive failures to get a load report after which a server gets no new work.
 const MAX_FAILED_REPORTS: u32 = 3;
-/// Number of leaving incarnations remembered per server, far more than a list can lag behind.
+/// Number of leaving incarnations recorded per server, far more than a list can lag behind.
 const MAX_LEAVING_INCARNATIONS: usize = 8;
 /// Maximum number of leaving marks kept for servers that are not listed yet.
 const MAX_UNLISTED_MARKS: usize = 1_024;
@@ -57,7 +57,7 @@
     Lost(String),
 }
 
-/// A router's first-hand knowledge of a server, as sent to its peers.
+/// What a router observed of a server itself, as sent to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSighting {
     /// The server.
@@ -80,7 +80,8 @@
     reported_ms: Option<u64>,
     failed_reports: u32,
     flaps: FlapHistory,
-    /// Whether a peer that watches the server reports it unreachable; overwritten by own reports.
+    /// Whether a peer reported the server unreachable; cleared by the result of this router's own
+    /// request.
     is_reported_unreachable: bool,
     /// When the server was last in the list.
     listed_ms: u64,
@@ -174,7 +175,7 @@
             .then(|| RosterChange::Leaving(server.record.name.clone()))
     }
 
-    /// Processes a peer's first-hand knowledge of a server.
+    /// Processes what a peer observed of a server itself.
     pub fn merge_sighting(
         &mut self,
         sighting: &ServerSighting,
--- a/crates/sapphiretrack-core/src/shared_tables.rs
+++ b/crates/sapphiretrack-core/src/shared_tables.rs
@@ -29,7 +29,7 @@
         tables
     }
 
-    /// Replaces a contract's tables with equal ones that are already known, and adds new ones.
+    /// Replaces a contract's tables with equal ones found before, and adds new ones.
     pub(crate) fn share(&mut self, contract: &mut Contract) {
         share(&mut self.pools, &mut contract.pools);
         share(&mut self.classes, &mut contract.classes);
--- a/crates/sapphiretrack-core/src/stewardship.rs
+++ b/crates/sapphiretrack-core/src/stewardship.rs
@@ -1,4 +1,5 @@
-//! Which router to ask for each server's slots, and to which router this one consents as steward.
+//! The router that each server's slots are requested from, and the one that this router consents to
+//! as steward.
 //!
 //! A steward grants slots only with recent consent from a majority of the cell's routers. Before a
 //! router consents to another steward, it lets its earlier consent expire. So no two routers can
@@ -14,14 +15,14 @@
     /// How long a steward counts a router's consent after receiving the heartbeat that carries it.
     pub consent_ms: u64,
     /// Maximum delay of a heartbeat; later ones are discarded.
-    pub travel_ms: u64,
+    pub max_heartbeat_delay_ms: u64,
 }
 
 impl Default for ConsentSettings {
     fn default() -> Self {
         Self {
             consent_ms: 3_000,
-            travel_ms: 500,
+            max_heartbeat_delay_ms: 500,
         }
     }
 }
@@ -29,7 +30,7 @@
 impl ConsentSettings {
     /// How long a router waits between its last consent to one steward and its first to another.
     pub fn handover_ms(&self) -> u64 {
-        self.consent_ms + self.travel_ms
+        self.consent_ms + self.max_heartbeat_delay_ms
     }
 }
 
@@ -110,7 +111,7 @@
         self.consents.retain(|server, _| keep(*server));
     }
 
-    /// The router to ask for a slot on a server.
+    /// The router that a slot on the server is requested from.
     pub fn steward(&self, server: ServerId) -> Option<RouterId> {
         self.consents.get(&server).map(|consent| consent.steward)
     }
--- a/crates/sapphiretrack-core/src/stop.rs
+++ b/crates/sapphiretrack-core/src/stop.rs
@@ -1,19 +1,20 @@
 //! Decides when a router that stops as planned may close its endpoints.
 
-/// Maximum wait for requests to cease, in multiples of the lookup's time to live. It limits the
-/// wait for callers that do not respect the time to live.
+/// Maximum wait until no more requests arrive, in multiples of the lookup's time to live. It limits
+/// the wait for callers that do not respect the time to live.
 const MAX_QUIET_WAITS: u64 = 2;
 
 /// Timing of a planned stop.
 ///
 /// Closing the endpoints breaks connections on which a request may be arriving. So they are closed
 /// when callers that respect the time to live of a lookup no longer send requests. The last lookup
-/// that names the router is answered by the last peer to learn of the stop.
+/// that names the router is answered by the last peer that is informed of the stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopTiming {
     /// How long callers use the addresses from a lookup.
     pub entry_ttl_ms: u64,
-    /// Time after which every peer knows of the stop or no longer returns this router in lookups.
+    /// Time after which every peer is informed of the stop or no longer returns this router in
+    /// lookups.
     pub peers_informed_ms: u64,
 }
 
--- a/crates/sapphiretrack-core/tests/attempt.rs
+++ b/crates/sapphiretrack-core/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! State machine test of the attempt log against a model that knows which attempts actually ran.
+//! State machine test of the attempt log against a model that records which attempts actually ran.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -7,7 +7,7 @@
     AttemptFailure, AttemptLog, NextStep, Outcome, RefusalCode, Repeatable, ServerId,
 };
 
-/// A step of the model. The log does not see all of its effects.
+/// A step of the model. Not all of its effects are visible to the log.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The request is sent.
@@ -16,7 +16,7 @@
     Token,
     /// The attempt fails before the request ran.
     FailBeforeRun,
-    /// The attempt fails, and the log can't tell whether the request ran.
+    /// The attempt fails, and the log has no information on whether the request ran.
     FailUnknown { ran: bool },
     /// The request already has its final answer.
     Finished,
--- a/crates/sapphiretrack-core/tests/common/mod.rs
+++ b/crates/sapphiretrack-core/tests/common/mod.rs
@@ -5,7 +5,7 @@
     ServerId,
 };
 
-/// The server.
+/// The only server.
 pub const SERVER: ServerId = ServerId(7);
 /// The server's load bound, in requests.
 pub const BOUND: usize = 2;
--- a/crates/sapphiretrack-core/tests/placement.rs
+++ b/crates/sapphiretrack-core/tests/placement.rs
@@ -336,7 +336,7 @@
         load_for_repeated_request(&bound, &current, 1.0, refusals[1]),
         None
     );
-    // A server that only one steward knows counts for all servers of the pool.
+    // A server that only one steward sees counts for all servers of the pool.
     refusals[1].live_servers = 14;
     raise_live_servers_to_max(refusals.iter_mut());
     assert_eq!(
--- a/crates/sapphiretrack-core/tests/server_roster.rs
+++ b/crates/sapphiretrack-core/tests/server_roster.rs
@@ -131,7 +131,7 @@
             "{name}"
         );
         assert_eq!(roster.new_marks(1_000), [(id("a"), 1)], "{name}");
-        // All other signals still say live: the delayed list, the reports and a peer without the
+        // All other signals still report live: the delayed list, the reports and a peer without the
         // mark.
         for now_ms in (1_250..20_000).step_by(250) {
             roster.apply_list(&list(&["a", "b"]), now_ms);
@@ -207,8 +207,7 @@
     assert_eq!(held_ms, [0, 2_000, 4_000, 8_000, 16_000]);
 }
 
-/// A router that has just learned of a server may send requests to it before it knows the server's
-/// incarnation.
+/// Requests may be sent to a server that was just listed before its incarnation is known.
 #[test]
 fn a_refusal_before_the_first_report_applies_to_the_incarnation_that_then_reports() {
     let before_any_report = |listed_first: bool| {
--- a/crates/sapphiretrack-core/tests/stewardship.rs
+++ b/crates/sapphiretrack-core/tests/stewardship.rs
@@ -161,7 +161,7 @@
         reserve(&mut ledger, &slot_request(other, u32::MAX), 1),
         Grant::Granted
     );
-    // This list was sent before the grant, so it says nothing about the later id.
+    // This list was sent before the grant, so it does not cover the later id.
     ledger.reconcile(other, &listing(&[], u32::MAX), 2);
     assert_eq!(ledger.held(SERVER), Some(1));
     // This list was sent after the ids wrapped around, and does not contain the slot.
