--- a/crates/sapphiretrackd/src/control/budgets.rs
+++ b/crates/sapphiretrackd/src/control/budgets.rs
@@ -14,7 +14,7 @@
 /// `dead_after_ms`, the silence after which its budgets move to another steward.
 const RECENTLY_SEEN_PERCENT: u64 = 60;
 
-/// The budgets that this router keeps as steward.
+/// The budgets of the customers that this router is the steward of.
 #[derive(Default)]
 pub(crate) struct Budgets {
     customers: BTreeMap<String, CustomerBudget>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Answers a router that asks for budget of a customer, as the customer's steward.
+    /// Answers a budget request as the customer's steward.
     pub(crate) fn grant(
         &mut self,
         request: &BudgetRequest,
@@ -86,7 +86,7 @@
     }
 
     /// Answers a budget request, with `NotSteward` if this router is not the steward or does not
-    /// know the customer's contract.
+    /// have the customer's contract.
     pub(super) fn answer_budget_request(
         &mut self,
         request: &BudgetRequest,
--- a/crates/sapphiretrackd/src/control/configuration.rs
+++ b/crates/sapphiretrackd/src/control/configuration.rs
@@ -36,7 +36,7 @@
         newer.then_some(newest.profile.peer_address)
     }
 
-    /// The whole configuration as a reply to a peer.
+    /// The full configuration as a reply to a peer.
     pub(super) fn full_config_reply(&self) -> PeerReply {
         match serde_json::to_string(self.config.as_ref()) {
             Ok(config_json) => PeerReply::Config(ConfigReply { config_json }),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The changes since a version as a reply to a peer; the whole configuration if they are no
-    /// longer known.
+    /// The changes since a version as a reply to a peer; the full configuration if they are no
+    /// longer held.
     pub(super) fn config_changes_reply(&self, version: u64, change_id: &str) -> PeerReply {
         let changes = self.config.changes_since(version, change_id);
         match changes.and_then(|changes| serde_json::to_string(&changes).ok()) {
--- a/crates/sapphiretrackd/src/control/ended_stewards.rs
+++ b/crates/sapphiretrackd/src/control/ended_stewards.rs
@@ -62,7 +62,7 @@
         self.heartbeat_tracker.invalidate_earlier();
     }
 
-    /// Resigns as steward once this router is leaving and all its successors know that it is.
+    /// Resigns as steward once this router is leaving and all its successors have seen that.
     pub(super) fn update_resignation(&mut self) {
         let is_own_successor = self.stewards.contains(&self.identity.id);
         if !is_own_successor && self.resignation.try_resign(&self.stewards) {
--- a/crates/sapphiretrackd/src/control/handle.rs
+++ b/crates/sapphiretrackd/src/control/handle.rs
@@ -23,19 +23,19 @@
         /// Receives the reply.
         reply: oneshot::Sender<PeerReply>,
     },
-    /// A traffic thread asks for a slot.
+    /// A traffic thread requests a slot.
     BeginReservation {
         /// The server and the conditions.
         request: ReservationRequest,
         /// Receives the reply.
         reply: oneshot::Sender<BegunReservation>,
     },
-    /// A peer granted a slot that this router had asked for.
+    /// A peer granted a slot that this router had requested.
     SlotGranted {
         /// The reservation.
         reservation: ReservationId,
     },
-    /// A peer did not grant a slot that this router had asked for. The reservation is ended by a
+    /// A peer did not grant a slot that this router had requested. The reservation is ended by a
     /// command that follows.
     SlotRefused {
         /// The reservation.
@@ -81,9 +81,9 @@
     /// A configuration from a peer. This router does not announce it at once, since that peer
     /// informs the others.
     PeerConfig(Arc<FleetConfig>),
-    /// A traffic thread asks for budget of a customer.
+    /// A traffic thread requests budget of a customer.
     LeaseBudget {
-        /// The amounts that the router holds and asks for.
+        /// The amounts that the router holds and requests.
         request: BudgetRequest,
         /// Receives the reply.
         reply: oneshot::Sender<BudgetRoute>,
@@ -118,12 +118,12 @@
     NotSteward,
     /// The peer did not reply.
     NoReply,
-    /// A refusal without counts, as from a peer of an earlier release. Without them the peer cannot
-    /// be asked again.
+    /// A refusal without counts, as from a peer of an earlier release. Without them the request
+    /// cannot be repeated.
     WithoutCounts,
 }
 
-/// A slot that a traffic thread asks for.
+/// A traffic thread's request for a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservationRequest {
     /// The server.
@@ -132,8 +132,8 @@
     pub(crate) bound_share: f64,
     /// Prompt tokens that the server does not have cached and is expected to compute.
     pub(crate) uncached_tokens: u32,
-    /// The counts of the steward that refused this slot before. The steward is asked again only if
-    /// the load that this router knows by now leaves capacity.
+    /// The counts of the steward that refused this slot before. The request is repeated only if the
+    /// load in this router's current view leaves capacity.
     pub(crate) refusal: Option<FullServer>,
 }
 
@@ -142,37 +142,37 @@
 pub(crate) struct BegunReservation {
     /// The id.
     pub(crate) reservation: ReservationId,
-    /// Who decides on the slot.
+    /// The router that decides on the slot.
     pub(crate) route: SlotRoute,
     /// This router's requests in flight on the server's pool, which the steward needs.
     pub(crate) in_flight: u16,
-    /// The pool's load, sent to a steward that is asked again.
+    /// The pool's load, sent to the steward with a repeated request.
     pub(crate) known_load: Option<RequesterLoad>,
 }
 
-/// Who decides on a slot.
+/// The router that decides on a slot.
 #[derive(Debug)]
 pub(crate) enum SlotRoute {
     /// This router, as the server's steward; with its decision.
     Local(Grant),
     /// The peer that is the server's steward, at this address.
     Peer(SocketAddr),
-    /// Nobody: no steward is known, or asking it is not expected to help.
+    /// No router: no steward is known, or a request to it is not expected to succeed.
     Unavailable,
 }
 
-/// Who keeps a customer's budget.
+/// The router that keeps a customer's budget.
 #[derive(Debug)]
 pub(crate) enum BudgetRoute {
     /// This router, as the customer's steward; with its answer.
     Local(BudgetReply),
-    /// A peer, which has to be asked.
+    /// A peer, which the request has to be sent to.
     Peer {
         /// The steward.
         steward: RouterId,
         /// The address at which it serves peers.
         address: SocketAddr,
-        /// The amounts that the router holds and asks for.
+        /// The amounts that the router holds and requests.
         request: BudgetRequest,
     },
 }
@@ -216,7 +216,7 @@
         receiver.await.ok()
     }
 
-    /// Asks for budget of a customer; none if the control thread has ended.
+    /// Requests budget of a customer; none if the control thread has ended.
     pub(crate) async fn lease_budget(&self, request: BudgetRequest) -> Option<BudgetRoute> {
         let (reply, receiver) = oneshot::channel();
         self.send(Command::LeaseBudget { request, reply });
--- a/crates/sapphiretrackd/src/control/heartbeats.rs
+++ b/crates/sapphiretrackd/src/control/heartbeats.rs
@@ -12,7 +12,7 @@
 use crate::control::ControlState;
 
 /// How many rounds of heartbeats are sent at once after a change. One is not enough: the slots that
-/// a peer holds count only once the new steward knows that it is the steward, which may be just
+/// a peer holds count only once the new steward is the steward in its own view, which may be just
 /// after the first round.
 pub(super) const URGENT_ROUNDS: u8 = 3;
 
@@ -71,7 +71,7 @@
         self.valid_from = self.sequence + 1;
     }
 
-    /// The counts to send to a peer, and whether it knows this router's profile. Only changes are
+    /// The counts to send to a peer, and whether it has this router's profile. Only changes are
     /// sent if the peer answered the previous heartbeat.
     fn in_flight_for(&mut self, router: RouterId, counts: &Counts) -> (InFlight, bool) {
         let sent = self.sent.entry(router).or_default();
@@ -234,13 +234,13 @@
                 .heartbeat_tracker
                 .sequence
                 .max(self.identity.incarnation);
-            // Peers that saw the old incarnation take the change for a restart of this router.
+            // Peers that saw the old incarnation treat the change as a restart of this router.
             self.reset_ledger();
             self.urgent_rounds = URGENT_ROUNDS;
         }
     }
 
-    /// Adds the peers that a router at a seed address knows.
+    /// Adds the peers that a router at a seed address introduces.
     pub(crate) fn add_introduced_peers(&mut self, reply: &HeartbeatReply) {
         self.peers.introduce(&reply.introduced);
     }
@@ -371,7 +371,7 @@
         counts
     }
 
-    /// The slots that this router holds or has asked for on the servers whose steward it consents
+    /// The slots that this router holds or has requested on the servers whose steward it consents
     /// to be `router`. Listing a server, even without slots, conveys that consent.
     pub(super) fn held_slots_for(&self, router: RouterId) -> HeldSlots {
         let mut by_server: BTreeMap<ServerId, Vec<ReservationId>> = self
--- a/crates/sapphiretrackd/src/control/load.rs
+++ b/crates/sapphiretrackd/src/control/load.rs
@@ -14,17 +14,18 @@
 pub(super) struct LoadTracker {
     /// Requests in flight of each peer by pool, with the time of the report.
     peer_loads: BTreeMap<(RouterId, String), (u32, u64)>,
-    /// Servers that took new work at the last update.
+    /// Servers that accepted new work at the last update.
     open_servers: BTreeSet<ServerId>,
-    /// When each recently joined server was first seen to take new work.
+    /// When each recently joined server was first seen to accept new work.
     joined_ms: BTreeMap<ServerId, u64>,
     /// When the last load report of each server arrived.
     reported_ms: BTreeMap<ServerId, u64>,
 }
 
 impl ControlState {
-    /// Finds servers that have begun to take new work. If there was none before, as after the start
-    /// of this router, they do not count as joining, since they may have taken work for long.
+    /// Finds servers that have begun to accept new work. If there was none before, as after the
+    /// start of this router, they do not count as joining, since they may have accepted work for a
+    /// long time.
     pub(super) fn update_joining_servers(&mut self, now_ms: u64) {
         let all = self.servers.iter().map(|(server, _)| server);
         let is_live = |server: &ServerId| self.server_state(*server, now_ms) == VmState::Live;
--- a/crates/sapphiretrackd/src/control/orders.rs
+++ b/crates/sapphiretrackd/src/control/orders.rs
@@ -17,13 +17,13 @@
 use crate::control::{ControlHandle, Snapshot};
 use crate::events::Event;
 
-/// The lease's name.
+/// Name of the lease whose holder sends the orders to engines.
 const LEASE_NAME: &str = "engine-orders";
 /// How often the lease is checked and engines are compared with their goals.
 const ROUND_PERIOD: Duration = Duration::from_millis(1_000);
 /// How often the holder of the lease reads the goals.
 const GOALS_PERIOD_MS: u64 = 2_000;
-/// The weight store serves one fetch per this period.
+/// Period in which the weight store serves one fetch.
 const WEIGHT_FETCH_EVERY_MS: u64 = 2_000;
 /// How many fetches the weight store serves at once.
 const WEIGHT_FETCH_BURST: u64 = 2;
@@ -206,7 +206,7 @@
             Ok(OrderReply::Refused) => {
                 Event::ORDER_REFUSED.log(&[("server", name), ("fencing", &fencing)]);
             }
-            // The engine's state in the next round shows whether it took the order.
+            // The engine's state in the next round shows whether it accepted the order.
             Err(error) => Event::ORDER_UNANSWERED.log(&[
                 ("server", name),
                 ("fencing", &fencing),
--- a/crates/sapphiretrackd/src/control/polling.rs
+++ b/crates/sapphiretrackd/src/control/polling.rs
@@ -22,7 +22,7 @@
 /// How often a starting router checks whether it has seen its peers.
 const PEERS_SEEN_POLL_PERIOD: Duration = Duration::from_millis(20);
 /// How many reads in a row have to show an older configuration on the platform before this router
-/// writes its own back. In the meantime it learns of a peer that holds a newer one.
+/// writes its own back. In the meantime, heartbeats show whether a peer holds a newer one.
 const REPUBLISH_AFTER_READS: u32 = 2;
 
 /// Polls the platform's list of VMs.
@@ -64,8 +64,8 @@
 
 /// Polls the configuration version, and reads the configuration when there is a newer one.
 ///
-/// The routers of a cell together make one read per second: each waits as many periods as there
-/// are live routers. Routers learn from heartbeats what another one has found.
+/// The routers of a cell together make one read per second: each waits as many periods as there are
+/// live routers. Heartbeats announce a newer version to the other routers.
 pub(crate) async fn poll_configuration(
     store: ConfigurationStore,
     control: ControlHandle,
@@ -149,7 +149,7 @@
     control.send(Command::LoadReport { server, report });
 }
 
-/// Fetches a peer's configuration, as changes since `held` if the peer still knows them.
+/// Fetches a peer's configuration, as changes since `held` if the peer still holds them.
 pub(crate) async fn fetch_config(
     peers: PeerClient,
     address: SocketAddr,
--- a/crates/sapphiretrackd/src/control/slots.rs
+++ b/crates/sapphiretrackd/src/control/slots.rs
@@ -12,7 +12,7 @@
 use crate::control::ControlState;
 use crate::control::handle::{BegunReservation, ReservationRequest, SlotRefusal, SlotRoute};
 
-/// A slot that this router holds or has asked for.
+/// A slot that this router holds or has requested.
 pub(super) struct HeldSlot {
     /// The server.
     pub(super) server: ServerId,
@@ -37,7 +37,7 @@
 
 impl ControlState {
     /// Starts a reservation on a server: decides on it if this router is the steward, otherwise
-    /// returns the steward to ask.
+    /// returns the steward's address.
     pub(crate) fn begin_reservation(
         &mut self,
         request: ReservationRequest,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Decides on a peer's request for a slot. `known_load` is the pool's load that the peer knows.
+    /// Decides on a peer's request for a slot. `known_load` is the pool's load in the peer's view.
     pub(super) fn reserve_for_peer(
         &mut self,
         request: &ReserveRequest,
@@ -267,7 +267,7 @@
             .collect()
     }
 
-    /// The router to ask for slots of a server.
+    /// The router that slots of a server are requested from.
     pub(super) fn steward(&self, server: ServerId) -> Option<RouterId> {
         self.consents.steward(server)
     }
@@ -287,7 +287,7 @@
             })
     }
 
-    /// Whether a server takes new work. Unknown servers and those that operators drain count as
+    /// Whether a server accepts new work. Unknown servers and those that operators drain count as
     /// leaving.
     pub(super) fn server_state(&self, server: ServerId, now_ms: u64) -> VmState {
         if self.config.is_draining(server) {
--- a/crates/sapphiretrackd/src/control/snapshot.rs
+++ b/crates/sapphiretrackd/src/control/snapshot.rs
@@ -60,7 +60,7 @@
         versions.fold(self.config.version, u64::max)
     }
 
-    /// How many routers take new work.
+    /// How many routers accept new work.
     pub(crate) fn live_routers(&self) -> usize {
         self.routers
             .iter()
--- a/crates/sapphiretrackd/src/control/state.rs
+++ b/crates/sapphiretrackd/src/control/state.rs
@@ -65,11 +65,12 @@
     pub(super) ended_incarnations: EndedIncarnations,
     /// Whether this router has resigned as steward because it is leaving.
     pub(super) resignation: Resignation,
-    /// Stewards that are not asked for a moment because they did not reply or are no stewards.
+    /// Stewards that get no slot requests for a short time because they did not reply or replied
+    /// that they are not the steward.
     pub(super) steward_backoff: StewardBackoff,
     pub(super) load_tracker: LoadTracker,
     pub(super) budgets: Budgets,
-    /// The slots that this router holds or has asked for.
+    /// The slots that this router holds or has requested.
     pub(super) held_slots: BTreeMap<ReservationId, HeldSlot>,
     pub(super) next_reservation: u32,
     pub(super) heartbeat_tracker: HeartbeatTracker,
@@ -298,7 +299,7 @@
     /// Detects a pause of the control loop. Must be called in each iteration before any slot is
     /// granted.
     ///
-    /// After a pause this router does not know whether it is still the steward of any server. It
+    /// After a pause, another router may be the steward of this router's servers. This router
     /// grants nothing until its peers have seen a new heartbeat and sent the slots that they hold.
     pub(crate) fn detect_pause(&mut self, now_ms: u64) {
         let Some(gap_ms) = self.pause_detector.record_iteration(now_ms) else {
@@ -360,7 +361,7 @@
         &self.seeds
     }
 
-    /// Whether this router takes new work. Leaving is final.
+    /// Whether this router accepts new work. Leaving is final.
     pub(super) fn own_state(&self) -> VmState {
         if self.stopping || self.leaving_by_list {
             VmState::Leaving
--- a/crates/sapphiretrackd/src/control/thread.rs
+++ b/crates/sapphiretrackd/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! The control loop.
+//! The control loop, which runs commands and periodic tasks on the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/sapphiretrackd/src/dispatch/attempts.rs
+++ b/crates/sapphiretrackd/src/dispatch/attempts.rs
@@ -14,7 +14,7 @@
 use crate::dispatch::slots::{Slot, SlotRequest};
 use crate::events::Event;
 
-/// Retry delay that callers are told after the last attempt failed.
+/// Retry delay for callers after the last attempt failed.
 const FAILED_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Dispatcher {
@@ -45,7 +45,7 @@
             if slot.is_some() || log.attempts() == 0 {
                 return slot;
             }
-            // No untried server has room, so a server that failed before may be tried again.
+            // No untried server has capacity, so a server that failed before may be tried again.
             let any = SlotRequest {
                 tried: &[],
                 ..untried
--- a/crates/sapphiretrackd/src/dispatch/chat.rs
+++ b/crates/sapphiretrackd/src/dispatch/chat.rs
@@ -332,7 +332,8 @@
         .await
     }
 
-    /// Reports the start of the answer once, and remembers the server that holds the chat's tokens.
+    /// Reports the start of the answer in the first call, and records the server that holds the
+    /// chat's tokens.
     fn send_start(&mut self, slot: &Slot, started: &mut StartSender) {
         let Some(sender) = started.take() else { return };
         let hint = WarmHint {
--- a/crates/sapphiretrackd/src/dispatch/completion.rs
+++ b/crates/sapphiretrackd/src/dispatch/completion.rs
@@ -132,7 +132,7 @@
         }
     };
     let (events, receiver) = mpsc::channel(2);
-    // The channel has capacity for both.
+    // The channel has capacity for both events.
     drop(events.try_send(StreamEvent::Chunk(Box::new(completion.into_chunk()))));
     drop(events.try_send(StreamEvent::End));
     Answer::Stream {
--- a/crates/sapphiretrackd/src/dispatch/leaving_servers.rs
+++ b/crates/sapphiretrackd/src/dispatch/leaving_servers.rs
@@ -7,7 +7,8 @@
 use crate::dispatch::slots::Slot;
 
 impl Dispatcher {
-    /// Reports a server that says it is leaving to the control thread, which informs all peers.
+    /// Reports the server to the control thread, which informs all peers, if it refused the request
+    /// because it is leaving.
     pub(crate) fn report_leaving_server(&self, slot: &Slot, error: &BackendError) {
         if matches!(error, BackendError::Leaving) {
             self.control.send(Command::ServerLeaving {
--- a/crates/sapphiretrackd/src/dispatch/mod.rs
+++ b/crates/sapphiretrackd/src/dispatch/mod.rs
@@ -31,7 +31,7 @@
 use crate::metrics::Metrics;
 use crate::warm_memory::WarmMemory;
 
-/// Retry delay that an isolated router tells callers.
+/// Retry delay for callers of an isolated router.
 const ISOLATED_RETRY_AFTER_MS: u64 = 1_000;
 /// Allowed retries per request, averaged over all requests.
 const RETRIES_PER_REQUEST: f64 = 0.08;
--- a/crates/sapphiretrackd/src/dispatch/non_idempotent.rs
+++ b/crates/sapphiretrackd/src/dispatch/non_idempotent.rs
@@ -20,9 +20,9 @@
 use crate::events::Event;
 use crate::limits::InFlightPermit;
 
-/// Retry delay that callers are told after the platform failed.
+/// Retry delay for callers after the platform failed.
 const PLATFORM_RETRY_AFTER_MS: u64 = 2_000;
-/// Retry delay that callers are told if the request may still be running.
+/// Retry delay for callers if the request may still be running.
 const CLAIMED_RETRY_AFTER_MS: u64 = 1_000;
 /// The largest answer that is stored in the claim's row; larger ones go to the object store.
 const MAX_ROW_BYTES: usize = 16 << 10;
@@ -30,9 +30,10 @@
 const RECORD_WAIT: Duration = Duration::from_millis(500);
 /// How long to wait for a reply after the deadline of the caller, in order to record it.
 const LATE_REPLY_WAIT: Duration = Duration::from_secs(30);
-/// Attempts to record an answer or to withdraw a claim.
+/// Maximum attempts to record an answer or to withdraw a claim.
 const CLAIM_WRITE_ATTEMPTS: u32 = 6;
-/// The delay after the first of these attempts; it doubles each time.
+/// Delay after the first failed attempt to record an answer or to withdraw a claim; doubles with
+/// each further one.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Runs a non-idempotent request at most once.
@@ -83,7 +84,7 @@
     }
 }
 
-/// Lets either the sending task or the deadline win, whichever comes first.
+/// Ensures that a request is either sent or refused at its deadline, whichever comes first.
 ///
 /// Both are due at once after the process was paused, so an atomic state decides between them.
 #[derive(Default)]
@@ -99,7 +100,8 @@
         self.transition(Self::SENT)
     }
 
-    /// Closes the gate at the deadline. The refusal tells whether the request was sent before.
+    /// Closes the gate at the deadline. The outcome in the refusal depends on whether the request
+    /// was sent before.
     fn close(&self) -> Refusal {
         let message = "the deadline of the class passed";
         if self.transition(Self::CLOSED) {
--- a/crates/sapphiretrackd/src/dispatch/slots.rs
+++ b/crates/sapphiretrackd/src/dispatch/slots.rs
@@ -15,10 +15,12 @@
 };
 use crate::dispatch::Dispatcher;
 
-/// The most servers asked for a slot in one round; servers that seem full are ranked last.
+/// Maximum number of servers on which one round requests a slot; servers that appear to be full are
+/// ranked last.
 const MAX_TRIED_SERVERS: usize = 64;
 
-/// A server to ask for a slot, with its counts if its steward refused before because it was full.
+/// A server to request a slot on, with its counts if its steward refused before because it was
+/// full.
 type SlotCandidate = (Candidate, Option<FullServer>);
 
 /// A slot on a server, released on drop.
@@ -51,7 +53,7 @@
 struct FailedRound {
     /// Full servers, with the counts from their stewards.
     full: Vec<SlotCandidate>,
-    /// Whether a server has no steward that answers for it now.
+    /// Whether a server has no steward that decides on its slots now.
     lacks_steward: bool,
 }
 
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Asks for a slot on each candidate in turn, then once more on the full ones where the load
-    /// counts in the refusals leave room.
+    /// Requests a slot on each candidate in turn, then once more on the full ones where the load
+    /// counts in the refusals leave capacity.
     async fn reserve_with_retry(
         &self,
         snapshot: &Snapshot,
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Asks the steward at `address` for a slot and reports the answer to the control thread.
+    /// Requests a slot from the steward at `address` and reports the reply to the control thread.
     async fn reserve_at_steward(
         &self,
         address: SocketAddr,
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -15,7 +15,7 @@
 use crate::clock::{Clock, wall_clock_ms};
 use crate::control::{BudgetRoute, Command, ControlHandle};
 
-/// Interval at which leases are renewed and unused chunks are returned.
+/// Interval at which leases are renewed and unused amounts are returned.
 const RENEW_PERIOD: Duration = Duration::from_millis(250);
 /// Retry delay for a customer that already has its share of a full pool.
 const FULL_POOL_RETRY_AFTER_MS: u64 = 500;
@@ -148,7 +148,8 @@
     /// Leases budget from the steward until the request is decided.
     ///
     /// If no steward answers, this router's part of the emergency share decides. If that does not
-    /// decide either, the steward is asked again with growing delays, since it may be changing.
+    /// decide either, the request is repeated with growing delays, since the steward may be
+    /// changing.
     async fn lease_until_decided(
         &self,
         entry: &Arc<LocalBudget>,
@@ -216,7 +217,7 @@
             .charge_tokens(f64::from(tokens), now_ms);
     }
 
-    /// Renews leases and returns unused chunks until the process ends.
+    /// Renews leases and returns unused amounts until the process ends.
     pub(crate) async fn renew_leases(self) {
         let mut period = tokio::time::interval(RENEW_PERIOD);
         period.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -256,7 +257,7 @@
         let _ignored = held.apply_grant(&grant, 0.0, requested_ms, now_ms);
     }
 
-    /// Decides from the budget held here. Returns `None` if the steward has to be asked.
+    /// Decides from the budget held here. Returns `None` if the steward has to decide.
     fn decide_locally(
         &self,
         entry: &Arc<LocalBudget>,
@@ -274,7 +275,8 @@
         }
     }
 
-    /// Asks the steward for budget. Returns `None` if it does not answer or is not the steward.
+    /// Requests budget from the steward. Returns `None` if it does not answer or is not the
+    /// steward.
     async fn lease_from_steward(&self, request: BudgetRequest) -> Option<(RouterId, BudgetGrant)> {
         let (steward, reply) = match self.control.lease_budget(request).await? {
             BudgetRoute::Local(reply) => (self.router, reply),
--- a/crates/sapphiretrackd/src/metrics.rs
+++ b/crates/sapphiretrackd/src/metrics.rs
@@ -17,7 +17,7 @@
 
 /// The maximum number of customer and class pairs with labels of their own.
 const MAX_LABEL_SETS: usize = 512;
-/// The label of all further pairs.
+/// The label of all pairs beyond [`MAX_LABEL_SETS`].
 const OTHER_LABEL: &str = "other";
 
 /// Labels for the class of a customer.
@@ -56,7 +56,7 @@
     pub(crate) rejected_peer_messages: Counter,
     /// Prompt tokens of answered requests.
     pub(crate) prompt_tokens: Counter,
-    /// Those of them that an engine found in its cache.
+    /// Prompt tokens of answered requests that an engine found in its cache.
     pub(crate) cached_tokens: Counter,
     /// Requests of callers in flight.
     pub(crate) in_flight: Gauge,
@@ -68,7 +68,7 @@
 pub(crate) struct InFlightGuard(Arc<Metrics>);
 
 impl InFlightGuard {
-    /// Counts a request.
+    /// Counts a request as in flight.
     pub(crate) fn new(metrics: &Arc<Metrics>) -> Self {
         metrics.in_flight.inc();
         Self(metrics.clone())
--- a/crates/sapphiretrackd/src/warm_memory.rs
+++ b/crates/sapphiretrackd/src/warm_memory.rs
@@ -8,7 +8,7 @@
 
 /// The maximum number of chats in a hand-over or snapshot; the newest ones are kept.
 pub(crate) const MAX_SHARED_CHATS: usize = 10_000;
-/// Older entries are neither sent nor merged.
+/// Maximum age of entries that are sent or merged.
 pub(crate) const MAX_WARM_AGE_MS: u64 = 3_600_000;
 /// Buckets or chats processed per lock, which bounds how long requests wait for it.
 const CHUNK_SIZE: usize = 512;
@@ -20,7 +20,7 @@
 }
 
 impl WarmMemory {
-    /// Creates an empty memory for at most `chats` chats.
+    /// Creates an empty memory with a capacity of at least `chats` chats.
     pub(crate) fn new(clock: Clock, chats: usize) -> Self {
         Self {
             clock,
@@ -28,18 +28,18 @@
         }
     }
 
-    /// Records where a chat is served now.
+    /// Records the server that serves a chat now.
     pub(crate) fn insert(&self, chat: ChatKey, hint: WarmHint) {
         self.lock().insert(chat, hint, self.clock.now_ms());
     }
 
-    /// Returns where a chat was last served.
+    /// Returns the server that last served a chat.
     pub(crate) fn get(&self, chat: ChatKey) -> Option<WarmHint> {
         self.lock().get(chat, self.clock.now_ms())
     }
 
-    /// Merges what another router knew `extra_age_ms` ago. Returns how many entries were new or
-    /// newer than the known ones.
+    /// Merges another router's hints, whose ages have grown by `extra_age_ms`. Returns how many
+    /// entries were new or newer than the stored ones.
     pub(crate) fn merge(&self, list: &WarmList, extra_age_ms: u64) -> usize {
         let entries: Vec<_> = list.hints(extra_age_ms).collect();
         let mut added = 0;
