--- a/crates/sapphiretrack-core/src/claim.rs
+++ b/crates/sapphiretrack-core/src/claim.rs
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordedBody {
-    /// In the row itself.
+    /// The body is stored in the row itself.
     Text(String),
-    /// In the object of this name, because it is large or not text.
+    /// The body is stored in the object of this name, because it is large or not text.
     Object(String),
 }
 
--- a/crates/sapphiretrack-core/src/membership.rs
+++ b/crates/sapphiretrack-core/src/membership.rs
@@ -61,9 +61,10 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It accepts new work.
+    /// The VM accepts new work.
     Live,
-    /// It is shutting down and gets no new work; final for an incarnation, so it overrides `Live`.
+    /// The VM is shutting down and gets no new work; final for an incarnation, so it overrides
+    /// `Live`.
     Leaving,
 }
 
--- a/crates/sapphiretrack-core/src/orders.rs
+++ b/crates/sapphiretrack-core/src/orders.rs
@@ -73,9 +73,10 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FencingCheck {
-    /// They reject it.
+    /// The engines reject such an order.
     Checks,
-    /// They accept any order; a new lease holder waits until earlier orders can no longer arrive.
+    /// The engines accept any order; a new lease holder waits until earlier orders can no longer
+    /// arrive.
     #[default]
     Ignores,
 }
--- a/crates/sapphiretrack-core/tests/steward_faults.rs
+++ b/crates/sapphiretrack-core/tests/steward_faults.rs
@@ -68,9 +68,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Nothing,
-    /// Its view now makes this router the steward.
+    /// The affected router's view changes: the given router is now the steward.
     Prefers(usize),
-    /// Its link to this router is cut, or restored.
+    /// The link between the affected and the given router is cut, or restored.
     Cut(usize),
     /// The routers in the mask are partitioned from the others; mask 0 restores all links.
     Partition(usize),
