--- a/crates/sapphiretrack-core/src/membership.rs
+++ b/crates/sapphiretrack-core/src/membership.rs
@@ -61,9 +61,10 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It accepts new work.
+    /// The VM accepts new work.
     Live,
-    /// It is shutting down and gets no new work; final for an incarnation, so it overrides `Live`.
+    /// The VM is shutting down and gets no new work; final for an incarnation, so it overrides
+    /// `Live`.
     Leaving,
 }
 
@@ -123,7 +124,7 @@
     pub report: LoadReport,
     /// The router that counts its slots.
     pub steward: RouterId,
-    /// Whether it has just joined. It then counts for the load bound, but gets no requests until
+    /// Whether it joined recently. It then counts for the load bound, but gets no requests until
     /// all routers have had time to see it.
     pub is_joining: bool,
     /// Prompt tokens that it still has to compute, as estimated by this router.
--- a/crates/sapphiretrack-core/src/resignation.rs
+++ b/crates/sapphiretrack-core/src/resignation.rs
@@ -29,14 +29,14 @@
         self.seen.insert(peer, sequence);
     }
 
-    /// Resigns if all other routers that may be stewards know that this router is leaving; returns
-    /// whether it resigned in this call.
+    /// Resigns if all other routers that may be stewards have seen that this router is leaving;
+    /// returns whether it resigned in this call.
     pub fn try_resign(&mut self, successors: &[RouterId]) -> bool {
         let Some(leaving_from) = self.leaving_from else {
             return false;
         };
-        let knows = |peer: &RouterId| self.seen.get(peer).is_some_and(|at| *at >= leaving_from);
-        if self.has_resigned || successors.is_empty() || !successors.iter().all(knows) {
+        let has_seen = |peer: &RouterId| self.seen.get(peer).is_some_and(|at| *at >= leaving_from);
+        if self.has_resigned || successors.is_empty() || !successors.iter().all(has_seen) {
             return false;
         }
         self.has_resigned = true;
--- a/crates/sapphiretrack-core/src/server_roster.rs
+++ b/crates/sapphiretrack-core/src/server_roster.rs
@@ -13,7 +13,7 @@
 
 /// Consecutive failures to get a load report after which a server gets no new work.
 const MAX_FAILED_REPORTS: u32 = 3;
-/// Number of leaving incarnations remembered per server, far more than a list can lag behind.
+/// Number of leaving incarnations recorded per server, far more than a list can lag behind.
 const MAX_LEAVING_INCARNATIONS: usize = 8;
 /// Maximum number of leaving marks kept for servers that are not listed yet.
 const MAX_UNLISTED_MARKS: usize = 1_024;
@@ -57,7 +57,7 @@
     Lost(String),
 }
 
-/// A router's first-hand knowledge of a server, as sent to its peers.
+/// What a router observed of a server itself, as sent to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSighting {
     /// The server.
@@ -80,7 +80,8 @@
     reported_ms: Option<u64>,
     failed_reports: u32,
     flaps: FlapHistory,
-    /// Whether a peer that watches the server reports it unreachable; overwritten by own reports.
+    /// Whether a peer reported the server unreachable; cleared by the result of this router's own
+    /// request.
     is_reported_unreachable: bool,
     /// When the server was last in the list.
     listed_ms: u64,
@@ -137,7 +138,7 @@
             let Some(server) = self.servers.get_mut(&id) else {
                 continue;
             };
-            if server.take_record(record, now_ms) {
+            if server.apply_record(record, now_ms) {
                 changes.push(RosterChange::Leaving(record.name.clone()));
             }
         }
@@ -170,11 +171,11 @@
         server.failed_reports = 0;
         server.flaps.record(true, &damping, now_ms);
         server
-            .take_load(report, report.leaving, now_ms)
+            .apply_load(report, report.leaving, now_ms)
             .then(|| RosterChange::Leaving(server.record.name.clone()))
     }
 
-    /// Processes a peer's first-hand knowledge of a server.
+    /// Processes what a peer observed of a server itself.
     pub fn merge_sighting(
         &mut self,
         sighting: &ServerSighting,
@@ -187,7 +188,7 @@
         }
         let reported_ms = server.reported_ms;
         let leaving = sighting.state == VmState::Leaving;
-        let starts_leaving = server.take_load(sighting.report, leaving, now_ms);
+        let starts_leaving = server.apply_load(sighting.report, leaving, now_ms);
         server.is_reported_unreachable = !sighting.reachable;
         if sighting.reachable {
             server.failed_reports = 0;
@@ -234,11 +235,11 @@
         let settings = self.settings;
         let mut changes = Vec::new();
         self.servers.retain(|_, server| {
-            let keep = !server.is_gone(&settings, now_ms);
-            if !keep {
+            let is_kept = !server.is_gone(&settings, now_ms);
+            if !is_kept {
                 changes.push(RosterChange::Lost(server.record.name.clone()));
             }
-            keep
+            is_kept
         });
         changes
     }
@@ -323,7 +324,7 @@
     }
 
     /// Processes the server's entry in the list; returns whether it makes the server leave.
-    fn take_record(&mut self, record: &VmRecord, now_ms: u64) -> bool {
+    fn apply_record(&mut self, record: &VmRecord, now_ms: u64) -> bool {
         let was_leaving = self.is_leaving();
         let starts_leaving = record.state == VmState::Leaving && self.record.state == VmState::Live;
         self.record = record.clone();
@@ -338,7 +339,7 @@
     }
 
     /// Processes a load report; returns whether it makes the server leave.
-    fn take_load(&mut self, report: LoadReport, leaving: bool, now_ms: u64) -> bool {
+    fn apply_load(&mut self, report: LoadReport, leaving: bool, now_ms: u64) -> bool {
         let was_leaving = self.is_leaving();
         self.report = report;
         self.reported_ms = Some(now_ms);
--- a/crates/sapphiretrackd/src/control/configuration.rs
+++ b/crates/sapphiretrackd/src/control/configuration.rs
@@ -18,8 +18,8 @@
     /// `dead_after_ms`.
     pub(super) fn peers_seen(&self, now_ms: u64) -> bool {
         let seen = 1 + self.peers.iter().count();
-        let all_heard = !self.lacks_vm_list() && seen >= self.peers.expected_routers();
-        all_heard || now_ms >= self.timing.dead_after_ms
+        let all_seen = !self.lacks_vm_list() && seen >= self.peers.expected_routers();
+        all_seen || now_ms >= self.timing.dead_after_ms
     }
 
     /// The address of the peer with the newest configuration, if that is newer than this router's.
@@ -36,7 +36,7 @@
         newer.then_some(newest.profile.peer_address)
     }
 
-    /// The whole configuration as a reply to a peer.
+    /// The full configuration as a reply to a peer.
     pub(super) fn full_config_reply(&self) -> PeerReply {
         match serde_json::to_string(self.config.as_ref()) {
             Ok(config_json) => PeerReply::Config(ConfigReply { config_json }),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The changes since a version as a reply to a peer; the whole configuration if they are no
-    /// longer known.
+    /// The changes since a version as a reply to a peer; the full configuration if they are no
+    /// longer held.
     pub(super) fn config_changes_reply(&self, version: u64, change_id: &str) -> PeerReply {
         let changes = self.config.changes_since(version, change_id);
         match changes.and_then(|changes| serde_json::to_string(&changes).ok()) {
--- a/crates/sapphiretrackd/src/control/endings.rs
+++ b/crates/sapphiretrackd/src/control/ended_stewards.rs
@@ -24,7 +24,10 @@
         if dialled != newest {
             return;
         }
-        if self.ended_runs.note_refused(router, dialled, newest) {
+        if self
+            .ended_incarnations
+            .note_refused(router, dialled, newest)
+        {
             self.release_consents(router);
         }
         let change = self.peers.note_refused(router, now_ms);
@@ -59,7 +62,7 @@
         self.heartbeat_tracker.invalidate_earlier();
     }
 
-    /// Resigns as steward once this router is leaving and all its successors know that it is.
+    /// Resigns as steward once this router is leaving and all its successors have seen that.
     pub(super) fn update_resignation(&mut self) {
         let is_own_successor = self.stewards.contains(&self.identity.id);
         if !is_own_successor && self.resignation.try_resign(&self.stewards) {
--- a/crates/sapphiretrackd/src/control/heartbeats.rs
+++ b/crates/sapphiretrackd/src/control/heartbeats.rs
@@ -12,7 +12,7 @@
 use crate::control::ControlState;
 
 /// How many rounds of heartbeats are sent at once after a change. One is not enough: the slots that
-/// a peer holds count only once the new steward knows that it is the steward, which may be just
+/// a peer holds count only once the new steward is the steward in its own view, which may be just
 /// after the first round.
 pub(super) const URGENT_ROUNDS: u8 = 3;
 
@@ -49,7 +49,7 @@
 struct SentHeartbeat {
     sequence: u64,
     answered: bool,
-    knows_profile: bool,
+    has_profile: bool,
     counts: Counts,
 }
 
@@ -71,13 +71,13 @@
         self.valid_from = self.sequence + 1;
     }
 
-    /// The counts to send to a peer, and whether it knows this router's profile. Only changes are
+    /// The counts to send to a peer, and whether it has this router's profile. Only changes are
     /// sent if the peer answered the previous heartbeat.
     fn in_flight_for(&mut self, router: RouterId, counts: &Counts) -> (InFlight, bool) {
         let sent = self.sent.entry(router).or_default();
-        let whole = !sent.answered;
-        let knows_profile = sent.knows_profile;
-        let counts_to_send = if whole {
+        let is_complete = !sent.answered;
+        let has_profile = sent.has_profile;
+        let counts_to_send = if is_complete {
             counts
                 .iter()
                 .map(|(server, count)| (*server, *count))
@@ -88,14 +88,14 @@
         *sent = SentHeartbeat {
             sequence: self.sequence,
             answered: false,
-            knows_profile,
+            has_profile,
             counts: counts.clone(),
         };
         let in_flight = InFlight {
-            whole,
+            whole: is_complete,
             counts: counts_to_send,
         };
-        (in_flight, knows_profile)
+        (in_flight, has_profile)
     }
 
     /// Updates the counts of a peer with those of its heartbeat.
@@ -141,13 +141,13 @@
         let counts = self.own_in_flight_counts();
         let mut outgoing = Vec::with_capacity(targets.len());
         for (router, address) in targets {
-            let (in_flight, knows_profile) = self.heartbeat_tracker.in_flight_for(router, &counts);
+            let (in_flight, has_profile) = self.heartbeat_tracker.in_flight_for(router, &counts);
             let mut heartbeat = self.base_heartbeat(&sightings, now_ms);
             heartbeat.in_flight = in_flight;
             self.consents.note_sent(router, now_ms);
             heartbeat.held = self.held_slots_for(router);
             heartbeat.seen_sequence = self.peers.seen_sequence(router);
-            if !knows_profile {
+            if !has_profile {
                 heartbeat.profile = Some(Box::new(self.identity.profile.clone()));
             }
             outgoing.push(OutgoingHeartbeat {
@@ -175,15 +175,16 @@
             config_version: heartbeat.config_version,
             profile: heartbeat.profile.as_deref().cloned(),
         };
-        let run_before = self.peers.known_incarnation(router);
+        let incarnation_before = self.peers.known_incarnation(router);
         let version_before = self.peers.get(router).map(|peer| peer.config_version);
-        let taken = self.peers.apply_heartbeat(&summary, now_ms);
-        if let HeartbeatResult::Accepted { change } = &taken {
+        let result = self.peers.apply_heartbeat(&summary, now_ms);
+        if let HeartbeatResult::Accepted { change } = &result {
             self.handle_peer_changes(change.as_slice());
-            self.ended_runs.note_seen(router, heartbeat.incarnation);
+            self.ended_incarnations
+                .note_seen(router, heartbeat.incarnation);
             self.resignation.note_seen(router, heartbeat.seen_sequence);
-            let is_other_run = heartbeat.incarnation != run_before;
-            let has_stopped_granting = heartbeat.has_resigned() || is_other_run;
+            let is_other_incarnation = heartbeat.incarnation != incarnation_before;
+            let has_stopped_granting = heartbeat.has_resigned() || is_other_incarnation;
             let has_released = has_stopped_granting && self.release_consents(router);
             if change.is_some() || has_released {
                 // Before the held slots are read: this change may make this router steward of the
@@ -196,7 +197,7 @@
         }
         HeartbeatReply {
             config_version: self.config.version,
-            wants_whole: taken == HeartbeatResult::NeedsProfile,
+            wants_whole: result == HeartbeatResult::NeedsProfile,
             known_incarnation: self.peers.known_incarnation(router),
             introduced: if heartbeat.profile.is_some() {
                 self.introductions(router)
@@ -222,7 +223,7 @@
                 *sent = SentHeartbeat::default();
             } else if sent.sequence == sequence {
                 sent.answered = true;
-                sent.knows_profile = true;
+                sent.has_profile = true;
             }
         }
         if reply.known_incarnation > self.identity.incarnation {
@@ -233,13 +234,13 @@
                 .heartbeat_tracker
                 .sequence
                 .max(self.identity.incarnation);
-            // Peers that saw the old incarnation take the change for a restart of this router.
+            // Peers that saw the old incarnation treat the change as a restart of this router.
             self.reset_ledger();
             self.urgent_rounds = URGENT_ROUNDS;
         }
     }
 
-    /// Adds the peers that a router at a seed address knows.
+    /// Adds the peers that a router at a seed address introduces.
     pub(crate) fn add_introduced_peers(&mut self, reply: &HeartbeatReply) {
         self.peers.introduce(&reply.introduced);
     }
@@ -370,7 +371,7 @@
         counts
     }
 
-    /// The slots that this router holds or has asked for on the servers whose steward it consents
+    /// The slots that this router holds or has requested on the servers whose steward it consents
     /// to be `router`. Listing a server, even without slots, conveys that consent.
     pub(super) fn held_slots_for(&self, router: RouterId) -> HeldSlots {
         let mut by_server: BTreeMap<ServerId, Vec<ReservationId>> = self
--- a/crates/sapphiretrackd/src/limits.rs
+++ b/crates/sapphiretrackd/src/limits.rs
@@ -15,7 +15,7 @@
 use crate::clock::{Clock, wall_clock_ms};
 use crate::control::{BudgetRoute, Command, ControlHandle};
 
-/// Interval at which leases are renewed and unused chunks are returned.
+/// Interval at which leases are renewed and unused amounts are returned.
 const RENEW_PERIOD: Duration = Duration::from_millis(250);
 /// Retry delay for a customer that already has its share of a full pool.
 const FULL_POOL_RETRY_AFTER_MS: u64 = 500;
@@ -148,7 +148,8 @@
     /// Leases budget from the steward until the request is decided.
     ///
     /// If no steward answers, this router's part of the emergency share decides. If that does not
-    /// decide either, the steward is asked again with growing delays, since it may be changing.
+    /// decide either, the request is repeated with growing delays, since the steward may be
+    /// changing.
     async fn lease_until_decided(
         &self,
         entry: &Arc<LocalBudget>,
@@ -158,14 +159,16 @@
     ) -> Result<(), Shortage> {
         let started_ms = self.clock.now_ms();
         loop {
-            let asked_ms = self.clock.now_ms();
-            let ask = entry.lock().ask(self.router, &entry.customer, Some(tokens));
-            let answer = self.lease_from_steward(ask).await;
+            let requested_ms = self.clock.now_ms();
+            let request = entry
+                .lock()
+                .budget_request(self.router, &entry.customer, Some(tokens));
+            let answer = self.lease_from_steward(request).await;
             let now_ms = self.clock.now_ms();
             if let Some((steward, grant)) = answer {
                 let mut held = entry.lock();
                 held.record_steward(steward);
-                return held.apply_grant(&grant, tokens, asked_ms, now_ms);
+                return held.apply_grant(&grant, tokens, requested_ms, now_ms);
             }
             self.use_emergency_share(entry, contract);
             match entry.lock().try_admit(tokens, &contract.limits, now_ms) {
@@ -214,7 +217,7 @@
             .charge_tokens(f64::from(tokens), now_ms);
     }
 
-    /// Renews leases and returns unused chunks until the process ends.
+    /// Renews leases and returns unused amounts until the process ends.
     pub(crate) async fn renew_leases(self) {
         let mut period = tokio::time::interval(RENEW_PERIOD);
         period.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -238,22 +241,23 @@
         let Some(contract) = config.contracts.get(&entry.customer) else {
             return;
         };
-        let asked_ms = self.clock.now_ms();
-        let ask = entry
-            .lock()
-            .end_period(self.router, &entry.customer, &contract.limits, asked_ms);
-        let Some(ask) = ask else { return };
-        let Some((steward, grant)) = self.lease_from_steward(ask).await else {
+        let requested_ms = self.clock.now_ms();
+        let request =
+            entry
+                .lock()
+                .end_period(self.router, &entry.customer, &contract.limits, requested_ms);
+        let Some(request) = request else { return };
+        let Some((steward, grant)) = self.lease_from_steward(request).await else {
             return self.use_emergency_share(entry, contract);
         };
         let now_ms = self.clock.now_ms();
         let mut held = entry.lock();
         held.record_steward(steward);
         // No request waits for this grant, so a shortage refuses none.
-        let _ignored = held.apply_grant(&grant, 0.0, asked_ms, now_ms);
+        let _ignored = held.apply_grant(&grant, 0.0, requested_ms, now_ms);
     }
 
-    /// Decides from the budget held here. Returns `None` if the steward has to be asked.
+    /// Decides from the budget held here. Returns `None` if the steward has to decide.
     fn decide_locally(
         &self,
         entry: &Arc<LocalBudget>,
@@ -271,16 +275,17 @@
         }
     }
 
-    /// Asks the steward for budget. Returns `None` if it does not answer or is not the steward.
-    async fn lease_from_steward(&self, ask: BudgetRequest) -> Option<(RouterId, BudgetGrant)> {
-        let (steward, reply) = match self.control.lease_budget(ask).await? {
+    /// Requests budget from the steward. Returns `None` if it does not answer or is not the
+    /// steward.
+    async fn lease_from_steward(&self, request: BudgetRequest) -> Option<(RouterId, BudgetGrant)> {
+        let (steward, reply) = match self.control.lease_budget(request).await? {
             BudgetRoute::Local(reply) => (self.router, reply),
             BudgetRoute::Peer {
                 steward,
                 address,
-                ask,
+                request,
             } => {
-                let reply = self.peers.lease_budget(address, ask).await;
+                let reply = self.peers.lease_budget(address, request).await;
                 if reply.as_ref().is_err_and(PeerError::is_connection_refused) {
                     self.control
                         .send(Command::StewardConnectionRefused { address });
