--- a/crates/sapphiretrack-bench/src/limits.rs
+++ b/crates/sapphiretrack-bench/src/limits.rs
@@ -333,7 +333,9 @@
                 admission == Admission::Admitted
             }
             Admission::Ask => {
-                let ask = limiter.held.ask(limiter.id, CUSTOMER, Some(tokens));
+                let ask = limiter
+                    .held
+                    .budget_request(limiter.id, CUSTOMER, Some(tokens));
                 self.result.record_ask(&ask);
                 let grant = self.steward.answer(&ask, &self.limits, 1.0, now_ms);
                 limiter.held.record_steward(self.steward_id);
--- a/crates/sapphiretrack-bench/src/policy/replace.rs
+++ b/crates/sapphiretrack-bench/src/policy/replace.rs
@@ -107,11 +107,11 @@
         };
         for (index, router) in routers.iter_mut().enumerate() {
             let received = handed_over
-                .places(0)
+                .hints(0)
                 .filter(|(chat, _)| receives(index, chat.0));
             router.merge_hints(received, now_ms);
             if mode.snapshot_age_ms().is_some() {
-                router.merge_hints(self.snapshot.places(now_ms - self.snapshot_ms), now_ms);
+                router.merge_hints(self.snapshot.hints(now_ms - self.snapshot_ms), now_ms);
             }
         }
     }
--- a/crates/sapphiretrack-bench/src/policy/router/mod.rs
+++ b/crates/sapphiretrack-bench/src/policy/router/mod.rs
@@ -214,7 +214,7 @@
         for server in &self.servers {
             if let Some(steward) = steward_of(*server, &live) {
                 self.steward_consents
-                    .set_wanted(*server, steward, may_consent, now_ms);
+                    .set_preferred(*server, steward, may_consent, now_ms);
             }
         }
     }
--- a/crates/sapphiretrack-bench/tests/limits.rs
+++ b/crates/sapphiretrack-bench/tests/limits.rs
@@ -64,7 +64,7 @@
         let mut held = HeldBudget::new(0);
         let mut admitted = 0;
         for _ in 0..limits.in_flight * 2 {
-            let ask = held.ask(RouterId(1), "customer", Some(1.0));
+            let ask = held.budget_request(RouterId(1), "customer", Some(1.0));
             let grant = steward.answer(&ask, &limits, 1.0, now_ms);
             admitted += u32::from(grant.need == NeedDecision::Admitted);
             let taken = held.apply_grant(&grant, 1.0, now_ms, now_ms);
@@ -277,7 +277,7 @@
     };
     for _ in 0..8 {
         if held.try_admit(10.0, &limits, 0) != Admission::Admitted {
-            let ask = held.ask(RouterId(1), "customer", Some(10.0));
+            let ask = held.budget_request(RouterId(1), "customer", Some(10.0));
             let grant = steward.answer(&ask, &limits, 1.0, 0);
             held.apply_grant(&grant, 10.0, 0, 0)
                 .expect("the request is admitted");
