--- a/crates/sapphiretrack-router/src/peer_listings.rs
+++ b/crates/sapphiretrack-router/src/peer_listings.rs
@@ -28,7 +28,7 @@
             .holders(zone, version, advert_of, now_ms);
         let named_routers = self.named_routers.iter().map(|address| Holder {
             address: *address,
-            is_near: true,
+            is_same_zone: true,
         });
         holders.extend(named_routers);
         holders
@@ -121,7 +121,7 @@
         };
         while let Ok(fragment) = queue.try_recv() {
             let known = self.shared_watch().state().version();
-            self.assembly.forget_until(known.unwrap_or(0));
+            self.assembly.drop_until(known.unwrap_or(0));
             let Some(batch) = self.assembly.add(fragment) else {
                 continue;
             };
--- a/crates/sapphiretrack-router/src/peer_messages.rs
+++ b/crates/sapphiretrack-router/src/peer_messages.rs
@@ -81,7 +81,7 @@
             fan_out: HEARTBEATS_AT_ONCE,
         };
         let rounds = pace.rounds(routers);
-        let interval_ms = rounds as u64 * pace.pause_ms(routers);
+        let interval_ms = rounds as u64 * pace.send_interval_ms(routers);
         shared.peers().set_heartbeat_interval(interval_ms);
         sent.push_back(shared.traffic().warm.take_pending());
         while sent.len() > rounds {
@@ -97,7 +97,7 @@
             peer_address: settings.peer_address,
             state: shared.state(),
             loads: shared.own_loads(),
-            knows_prefixes: shared.prefix_recovery().knows(now_ms),
+            has_prefixes: shared.prefix_recovery().has_prefixes(now_ms),
             sent: SentPrompts {
                 prefixes: sent.iter().flat_map(|one| &one.prefixes).copied().collect(),
                 private: sent.iter().flat_map(|one| &one.private).copied().collect(),
@@ -118,7 +118,7 @@
                 turn = turn.wrapping_add(1);
             }
         }
-        let pause = pace.pause_ms(routers);
+        let pause = pace.send_interval_ms(routers);
         is_urgent = tokio::select! {
             () = sleep(Duration::from_millis(pause)) => false,
             () = shared.state_changed.notified() => true,
@@ -309,7 +309,7 @@
                     .traffic()
                     .warm
                     .record_holdings(&prefixes, Clock.now_ms());
-                shared.prefix_recovery().record_advertised();
+                shared.prefix_recovery().record_received();
                 continue;
             }
         };
--- a/crates/sapphiretrack-router/src/prefixes.rs
+++ b/crates/sapphiretrack-router/src/prefixes.rs
@@ -23,7 +23,7 @@
 ) {
     loop {
         let now_ms = Clock.now_ms();
-        if shared.prefix_recovery().knows(now_ms) {
+        if shared.prefix_recovery().has_prefixes(now_ms) {
             return;
         }
         let zone = &shared.settings().zone;
@@ -43,7 +43,7 @@
             }
             PrefixStep::AskServers => {
                 query_engines(&shared, &list_prefixes).await;
-                shared.prefix_recovery().record_advertised();
+                shared.prefix_recovery().record_received();
                 // Other routers wait until one advertises that it knows.
                 shared.state_changed.notify_one();
             }
--- a/crates/sapphiretrack-router/src/shared.rs
+++ b/crates/sapphiretrack-router/src/shared.rs
@@ -384,7 +384,7 @@
 
     /// Whether a request is to be logged in full.
     pub(crate) fn is_log_sampled(&self, id: &str) -> bool {
-        lock(&self.log_sampling).keeps(id, Clock.now_ms())
+        lock(&self.log_sampling).is_sampled(id, Clock.now_ms())
     }
 
     /// Logs and counts a call to the store. The outcome is the version that it returned or an
--- a/crates/sapphiretrack-router/src/watch.rs
+++ b/crates/sapphiretrack-router/src/watch.rs
@@ -165,7 +165,7 @@
                 Ok(answer) => return Some(self.apply_answer(answer, version.is_none(), sent_ms)),
                 Err(StoreError::HistoryLost) => {
                     note!(Event::HISTORY_LOST, listing = self.listing.as_str());
-                    self.shared_watch().state().forget_version();
+                    self.shared_watch().state().clear_version();
                 }
                 Err(error) => self.back_off(&error, sent_ms).await,
             }
--- a/crates/sapphiretrack-routing/benches/placement.rs
+++ b/crates/sapphiretrack-routing/benches/placement.rs
@@ -8,7 +8,7 @@
     choose_server, fetch_source, home_count, home_server, sample_candidates,
 };
 
-/// Pool sizes: from those of the users' fleets up to the one to design for.
+/// Pool sizes, up to the largest that the router is designed for.
 const SERVERS: [u64; 4] = [12, 63, 600, 1_800];
 /// Measured decisions for each pool size.
 const DECISIONS_PER_SIZE: u64 = 20_000;
--- a/crates/sapphiretrack-routing/src/change_log.rs
+++ b/crates/sapphiretrack-routing/src/change_log.rs
@@ -93,12 +93,12 @@
         let mut groups: Vec<Vec<ServerChange>> = vec![Vec::new()];
         let mut bytes = 0;
         for change in batch.changes {
-            let more = size(&change);
-            if bytes > 0 && bytes + more > max_bytes {
+            let change_bytes = size(&change);
+            if bytes > 0 && bytes + change_bytes > max_bytes {
                 groups.push(Vec::new());
                 bytes = 0;
             }
-            bytes += more;
+            bytes += change_bytes;
             if let Some(group) = groups.last_mut() {
                 group.push(change);
             }
@@ -180,7 +180,7 @@
     }
 
     /// Drops incomplete batches that contain nothing newer than a version.
-    pub fn forget_until(&mut self, version: u64) {
+    pub fn drop_until(&mut self, version: u64) {
         self.batches
             .retain(|((_, batch_version), _)| *batch_version > version);
     }
--- a/crates/sapphiretrack-routing/src/configuration_change.rs
+++ b/crates/sapphiretrack-routing/src/configuration_change.rs
@@ -247,8 +247,7 @@
         }
         self.entries += change.entries();
         self.changes.push_back(Arc::new(change));
-        // The last change is always kept, whatever its size: it tells which version this router
-        // has.
+        // The last change is always kept, whatever its size: it holds the current version.
         while self.changes.len() > 1
             && (self.entries > Self::MAX_ENTRIES || self.changes.len() > Self::MAX_CHANGES)
         {
@@ -257,7 +256,8 @@
         }
     }
 
-    /// Returns all changes since a version, in order; `None` if some are no longer known.
+    /// Returns all changes since a version, in order; `None` if the log no longer holds some of
+    /// them.
     pub fn since(&self, version: u64) -> Option<Vec<Arc<ConfigurationChange>>> {
         if self.version() == Some(version) {
             return Some(Vec::new());
@@ -267,7 +267,7 @@
         Some(self.changes.range(first..).cloned().collect())
     }
 
-    /// The version that the last change resulted in.
+    /// Returns the version that results from the last change.
     fn version(&self) -> Option<u64> {
         self.changes.back().map(|change| change.version)
     }
--- a/crates/sapphiretrack-routing/src/crash_evidence.rs
+++ b/crates/sapphiretrack-routing/src/crash_evidence.rs
@@ -21,12 +21,12 @@
     pub is_void: bool,
 }
 
-/// The crash records that a router knows. The set only grows until records expire, and routers can
-/// merge each other's records in any order and any number of times.
+/// The crash records at one router. The set only grows until records expire, and routers can merge
+/// each other's records in any order and any number of times.
 ///
 /// A crash counts against every request that was running on the server. The first crash of a
-/// request is known only to a few routers, which are chosen by rendezvous hashing; from the second
-/// one on it is shared with all routers.
+/// request is recorded only at a few routers, which are chosen by rendezvous hashing; from the
+/// second one on it is shared with all routers.
 #[derive(Clone, Debug, Default)]
 pub struct CrashEvidence {
     requests: HashMap<Fingerprint, BTreeMap<u64, Crash>>,
@@ -42,7 +42,7 @@
 }
 
 impl CrashEvidence {
-    /// Number of records of a request from which on they are shared with all routers.
+    /// Minimum number of records of a request for them to be shared with all routers.
     pub const MIN_SHARED_RECORDS: usize = 2;
     /// Maximum number of records that are compared and sent at once.
     pub const MAX_SENT: usize = 256;
@@ -54,7 +54,7 @@
     pub const MAX_SERVERS: usize = 16;
 
     /// Records that a server ended while it ran a request. Returns the record; `None` if it was
-    /// already known or does not fit.
+    /// recorded before or exceeds [`Self::MAX_SERVERS`].
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -87,10 +87,10 @@
 
     /// Merges another router's records. Returns those that changed something.
     pub fn merge(&mut self, records: &[CrashRecord], now_ms: u64) -> Vec<CrashRecord> {
-        let news = records
+        let merged = records
             .iter()
             .filter(|record| self.merge_record(record, now_ms));
-        news.copied().collect()
+        merged.copied().collect()
     }
 
     fn merge_record(&mut self, record: &CrashRecord, now_ms: u64) -> bool {
@@ -104,12 +104,12 @@
         }
         let crashes = self.requests.entry(record.fingerprint).or_default();
         if let Some(known) = crashes.get_mut(&record.server) {
-            let is_news = record.is_void && !known.is_void;
+            let is_newly_void = record.is_void && !known.is_void;
             known.is_void |= record.is_void;
-            if is_news {
+            if is_newly_void {
                 self.digest = None;
             }
-            return is_news;
+            return is_newly_void;
         }
         if crashes.len() == Self::MAX_SERVERS {
             return false;
@@ -129,11 +129,11 @@
         if self.requests.len() < Self::MAX_REQUESTS {
             return;
         }
-        let least = self.requests.iter().min_by_key(|(fingerprint, crashes)| {
+        let fewest = self.requests.iter().min_by_key(|(fingerprint, crashes)| {
             let last_ms = crashes.values().map(|crash| crash.at_ms).max();
             (count_valid(crashes), last_ms, **fingerprint)
         });
-        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+        if let Some(fingerprint) = fewest.map(|(fingerprint, _)| *fingerprint) {
             self.digest = None;
             self.requests.remove(&fingerprint);
             self.rebuild_outlines();
@@ -174,7 +174,7 @@
         self.outlines.contains(&outline)
     }
 
-    /// Returns how many servers a request has crashed, as far as known.
+    /// Returns how many servers a request has crashed by the valid records.
     pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
         self.requests.get(&fingerprint).map_or(0, count_valid)
     }
@@ -221,12 +221,12 @@
         digest
     }
 
-    /// Returns up to `count` records of requests that have at least `least` of them, those with the
-    /// most crashes first.
-    pub fn records(&self, least: usize, count: usize, now_ms: u64) -> Vec<CrashRecord> {
+    /// Returns up to `count` records of requests that have at least `min_records` of them, those
+    /// with the most crashes first.
+    pub fn records(&self, min_records: usize, count: usize, now_ms: u64) -> Vec<CrashRecord> {
         let requests = self.requests.iter();
         let mut requests: Vec<_> = requests
-            .filter(|(_, crashes)| crashes.len() >= least)
+            .filter(|(_, crashes)| crashes.len() >= min_records)
             .collect();
         requests.sort_unstable_by_key(|(fingerprint, crashes)| {
             (usize::MAX - count_valid(crashes), **fingerprint)
@@ -254,7 +254,7 @@
 impl CrashRecord {
     /// Computes a digest of a set of records. It depends neither on their order nor on their age.
     pub fn digest(records: &[Self]) -> u64 {
-        let one = |record: &Self| {
+        let record_digest = |record: &Self| {
             let Fingerprint { outline, hash } = record.fingerprint;
             let parts = [hash as u64, (hash >> 64) as u64, outline.0, record.server];
             let start = u64::from(record.is_void);
@@ -264,7 +264,7 @@
         };
         records
             .iter()
-            .map(one)
+            .map(record_digest)
             .fold(records.len() as u64, u64::wrapping_add)
     }
 }
--- a/crates/sapphiretrack-routing/src/discovery.rs
+++ b/crates/sapphiretrack-routing/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Chooses which routers are offered to a caller.
+//! Selects the routers whose addresses the answer to a lookup contains.
 
 use std::net::SocketAddr;
 
--- a/crates/sapphiretrack-routing/src/heartbeat_pace.rs
+++ b/crates/sapphiretrack-routing/src/heartbeat_pace.rs
@@ -13,13 +13,15 @@
 }
 
 impl HeartbeatPace {
-    /// Returns the time until the next heartbeat in milliseconds. It shrinks with the number of
-    /// routers below the fan-out: no more datagrams are sent per second than in a large fleet, and
-    /// the loads that requests are placed by are more recent.
-    pub fn pause_ms(&self, routers: usize) -> u64 {
+    /// Returns the time between two heartbeats in milliseconds. With fewer routers than the fan-out
+    /// it is shorter: that takes no more datagrams per second than a large fleet, and placement
+    /// gets more recent loads.
+    pub fn send_interval_ms(&self, routers: usize) -> u64 {
         let share = routers.min(self.fan_out) as f64 / self.fan_out.max(1) as f64;
-        let pause_ms = (self.heartbeat_ms as f64 * share).ceil() as u64;
-        pause_ms.max(self.min_heartbeat_ms).min(self.heartbeat_ms)
+        let send_interval_ms = (self.heartbeat_ms as f64 * share).ceil() as u64;
+        send_interval_ms
+            .max(self.min_heartbeat_ms)
+            .min(self.heartbeat_ms)
     }
 
     /// Returns the number of heartbeats until every router has received one.
--- a/crates/sapphiretrack-routing/src/listing_readers.rs
+++ b/crates/sapphiretrack-routing/src/listing_readers.rs
@@ -38,11 +38,11 @@
         let others = self.readers.iter();
         let others = others.filter(|one| one.address != reader.address);
         let near = others.clone().filter(|one| one.zone == reader.zone);
-        let mut named: Vec<SocketAddr> = near.map(|one| one.address).collect();
-        if named.is_empty() {
-            named = others.map(|one| one.address).collect();
+        let mut suggested: Vec<SocketAddr> = near.map(|one| one.address).collect();
+        if suggested.is_empty() {
+            suggested = others.map(|one| one.address).collect();
         }
-        named.truncate(Self::MAX_SUGGESTED);
-        named
+        suggested.truncate(Self::MAX_SUGGESTED);
+        suggested
     }
 }
--- a/crates/sapphiretrack-routing/src/listing_source.rs
+++ b/crates/sapphiretrack-routing/src/listing_source.rs
@@ -20,13 +20,13 @@
     pub need: ListingNeed,
     /// Whether this router is one of the few that keep watches open at the store.
     pub is_watcher: bool,
-    /// Whether it knows all other routers that the store lists.
+    /// Whether it has read the list of routers from the store.
     pub is_discovered: bool,
     /// Live routers that have the listing.
     pub holders: &'a [Holder],
     /// Number of other live routers.
     pub live: usize,
-    /// Whether any router sent a heartbeat recently. An isolated router learns nothing by waiting.
+    /// Whether any router sent a heartbeat recently. An isolated router gains nothing by waiting.
     pub is_connected: bool,
     /// A random number below 1.
     pub draw: f64,
@@ -53,10 +53,10 @@
 ///
 /// A missing change is read from a router that advertises it, and from the store only if that does
 /// not succeed in time. Proofs are left to the watchers. If the watchers fail, a few of the other
-/// routers probe the store after random delays, and what one of them learns spreads to all.
+/// routers probe the store after random delays, and the other routers receive the result from them.
 #[derive(Clone, Debug, Default)]
 pub struct ListingSource {
-    since: Option<NeedStart>,
+    need_start: Option<NeedStart>,
     /// No request to another router before this time.
     next_peer_ms: u64,
     /// No request to the store before this time.
@@ -64,7 +64,7 @@
     /// Number of requests to other routers, except those answered as busy.
     attempts: u32,
     /// Whether another router was too busy to answer.
-    has_met_busy: bool,
+    was_peer_busy: bool,
     /// Whether the store failed to answer.
     has_failed: bool,
     /// Whether other routers have the missing content.
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 struct NeedStart {
     is_proof: bool,
-    ms: u64,
+    since_ms: u64,
 }
 
 impl ListingSource {
@@ -134,20 +134,20 @@
 
     /// Records that another router failed to answer.
     pub fn record_peer_failure(&mut self, draw: f64, now_ms: u64) {
-        let (least_ms, range_ms) = Self::PEER_RETRY_MS;
-        self.next_peer_ms = now_ms + least_ms + (range_ms * draw) as u64;
+        let (min_ms, range_ms) = Self::PEER_RETRY_MS;
+        self.next_peer_ms = now_ms + min_ms + (range_ms * draw) as u64;
     }
 
     /// Records that another router was too busy to answer. That does not count as a failed attempt:
     /// as more routers get the listing, one soon has capacity.
     pub fn record_peer_busy(&mut self, draw: f64, now_ms: u64) {
         self.attempts = self.attempts.saturating_sub(1);
-        self.has_met_busy = true;
+        self.was_peer_busy = true;
         self.record_peer_failure(draw, now_ms);
     }
 
     /// Records that the store failed to answer. Other routers are asked again first, since they may
-    /// have learned more by then.
+    /// have newer content by then.
     pub fn record_store_failure(&mut self, live: usize, draw: f64, now_ms: u64) {
         // A change that others have is missing only here and must be read within a bounded time.
         let range_ms = match self.has_holders {
@@ -157,8 +157,8 @@
         self.next_store_ms = now_ms + (range_ms * (0.5 + draw)) as u64;
         self.attempts = 0;
         self.has_failed = true;
-        if let Some(since) = &mut self.since {
-            since.ms = now_ms;
+        if let Some(start) = &mut self.need_start {
+            start.since_ms = now_ms;
         }
     }
 
@@ -169,28 +169,28 @@
 
     fn start_need(&mut self, view: &ListingView<'_>) -> u64 {
         let is_proof = view.need == ListingNeed::Proof;
-        if let Some(since) = self.since
-            && since.is_proof == is_proof
+        if let Some(start) = self.need_start
+            && start.is_proof == is_proof
         {
-            return since.ms;
+            return start.since_ms;
         }
-        let ms = view.now_ms;
+        let since_ms = view.now_ms;
         let peer_spread_ms = view.live as f64 * Self::SPREAD_MS_PER_ROUTER;
         let peer_delay_ms = peer_spread_ms.min(Self::MAX_SPREAD_MS) * view.draw;
-        // Routers that know no holder may all be waiting for the same few; a random delay spreads
-        // them.
+        // Routers without a known holder may all be waiting for the same few routers; a random
+        // delay spreads their calls to the store.
         let store_delay_ms = Self::probe_spread_ms(view.live) * view.draw;
         let first_store_ms = match is_proof {
-            true => ms,
-            false => ms + Self::START_LIMIT_MS,
+            true => since_ms,
+            false => since_ms + Self::START_LIMIT_MS,
         };
         *self = Self {
-            since: Some(NeedStart { is_proof, ms }),
-            next_peer_ms: ms + peer_delay_ms as u64,
+            need_start: Some(NeedStart { is_proof, since_ms }),
+            next_peer_ms: since_ms + peer_delay_ms as u64,
             next_store_ms: first_store_ms + store_delay_ms as u64,
             ..Self::default()
         };
-        ms
+        since_ms
     }
 
     fn content_step(&mut self, view: &ListingView<'_>, since_ms: u64) -> ListingStep {
@@ -202,15 +202,15 @@
             let until_ms = self.next_peer_ms;
             return ListingStep::Wait { until_ms };
         }
-        let limit_ms = match self.has_met_busy {
+        let limit_ms = match self.was_peer_busy {
             true => Self::BUSY_LIMIT_MS,
             false => Self::PEER_LIMIT_MS,
         };
-        let has_asked = self.attempts > 0 || self.has_met_busy;
+        let has_asked = self.attempts > 0 || self.was_peer_busy;
         let is_late = has_asked && view.now_ms >= since_ms + limit_ms;
         let may_ask_store = !self.has_failed || view.now_ms >= self.next_store_ms;
-        let is_peers_turn = self.attempts < Self::MAX_PEER_ATTEMPTS && !is_late;
-        if may_ask_store && !is_peers_turn {
+        let may_ask_peer = self.attempts < Self::MAX_PEER_ATTEMPTS && !is_late;
+        if may_ask_store && !may_ask_peer {
             return ListingStep::Store;
         }
         // While the store fails, keep asking other routers: a busy one may become free.
@@ -219,8 +219,8 @@
     }
 
     fn proof_step(&self, view: &ListingView<'_>) -> ListingStep {
-        let is_cut_off = !view.is_connected && !self.has_failed;
-        match is_cut_off {
+        let is_isolated = !view.is_connected && !self.has_failed;
+        match is_isolated {
             true => ListingStep::Store,
             false => self.wait_or_store(self.next_store_ms, view.now_ms),
         }
@@ -235,7 +235,11 @@
 
     /// Picks a random holder, from the own availability zone if it has any.
     fn pick_holder(view: &ListingView<'_>) -> Holder {
-        let near = view.holders.iter().filter(|holder| holder.is_near).count();
+        let near = view
+            .holders
+            .iter()
+            .filter(|holder| holder.is_same_zone)
+            .count();
         let count = match near {
             0 => view.holders.len(),
             near => near,
@@ -244,7 +248,7 @@
         let candidates = view
             .holders
             .iter()
-            .filter(|holder| near == 0 || holder.is_near);
+            .filter(|holder| near == 0 || holder.is_same_zone);
         let mut candidates = candidates.skip(index);
         // There are `count` candidates, and the index is below that.
         *candidates.next().unwrap_or(&view.holders[0])
--- a/crates/sapphiretrack-routing/src/load_digest.rs
+++ b/crates/sapphiretrack-routing/src/load_digest.rs
@@ -72,7 +72,7 @@
     pub collector: SocketAddr,
     /// Routers that report to it, see [`router_tag`].
     pub live: Vec<u32>,
-    /// Routers that used to report to it and fell silent.
+    /// Routers that used to report to it and stopped.
     pub silent: Vec<u32>,
     /// The sums by server.
     pub loads: Vec<LoadEntry>,
@@ -81,7 +81,7 @@
 /// The totals that a collector sends to the routers that report to it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LoadDigest {
-    /// Routers of all availability zones that fell silent, see [`router_tag`].
+    /// Routers of all availability zones that stopped reporting, see [`router_tag`].
     pub silent: Vec<u32>,
     /// The sums by server.
     pub loads: Vec<LoadEntry>,
@@ -98,7 +98,7 @@
 /// Requests in flight and unprocessed prompt tokens by [`Incarnation::tag`].
 pub type LoadsByServer = HashMap<u32, (u32, u64)>;
 
-/// The reporting side: chooses the collectors and keeps the digest received from them.
+/// The reporting side: chooses the collectors and stores the digest received from them.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReporter {
     /// The first collector, and since when it has not answered reports.
@@ -111,14 +111,15 @@
 }
 
 impl LoadReporter {
-    /// Number of collectors that a router reports to, so that the loss of one costs no report.
+    /// Number of collectors that a router reports to, so that its reports still arrive if one
+    /// collector fails.
     const COLLECTOR_COUNT: usize = 2;
     /// Time after which a collector that does not answer reports counts as silent, in milliseconds.
     const SILENT_MS: u64 = 600;
     /// Time for which a silent collector is skipped, in milliseconds.
     const SKIP_MS: u64 = 5_000;
     /// Time for which a digest is valid, in milliseconds.
-    const DIGEST_MS: u64 = 1_000;
+    const DIGEST_VALID_MS: u64 = 1_000;
 
     /// Returns the collectors to report to, from the routers of the zone in the order that all of
     /// them agree on. The first one is asked for the digest.
@@ -173,7 +174,7 @@
     /// Returns the load of all other routers; `None` if there is no recent digest.
     pub fn loads(&self, now_ms: u64) -> Option<&LoadsByServer> {
         let (loads, received_ms) = self.digest.as_ref()?;
-        (now_ms < received_ms + Self::DIGEST_MS).then_some(loads)
+        (now_ms < received_ms + Self::DIGEST_VALID_MS).then_some(loads)
     }
 }
 
@@ -182,8 +183,8 @@
 pub struct CollectedLoads {
     /// The sums of its own availability zone, for the other collectors.
     pub zone: ZoneLoads,
-    /// Known collectors that receive these sums, besides the routers that rank first in their
-    /// zones.
+    /// Collectors whose sums were received, which get these sums, besides the routers that rank
+    /// first in their zones.
     pub collectors: Vec<SocketAddr>,
     /// The sums of all zones, for the routers that reported.
     pub digest: LoadDigest,
@@ -205,14 +206,14 @@
 
 impl LoadCollector {
     /// Time for which a report or the sums of a zone are valid, in milliseconds.
-    const KEEP_MS: u64 = 1_000;
+    const VALID_MS: u64 = 1_000;
     /// Time without reports after which a router counts as silent, in milliseconds.
     const SILENT_MS: u64 = 600;
-    /// Time for which a silent router is listed, in milliseconds. By its end the other routers miss
-    /// its heartbeats, too.
-    const LOST_MS: u64 = 10_000;
+    /// Time for which a silent router is listed, in milliseconds. By then the missing heartbeats
+    /// show it to the other routers, too.
+    const LOST_RETENTION_MS: u64 = 10_000;
     /// Interval between two digests of the usual size, in milliseconds.
-    const DIGEST_MS: u64 = 200;
+    const DIGEST_INTERVAL_MS: u64 = 200;
     /// Maximum rate of digest bytes to one router: larger digests are sent less often.
     const DIGEST_BYTES_PER_S: u64 = 10_000;
     const ENTRY_BYTES: u64 = 8;
@@ -221,7 +222,7 @@
     pub fn record_report(&mut self, report: LoadReport, now_ms: u64) {
         let known = self.reports.get(&report.name);
         let is_older = known.is_some_and(|(known, received_ms)| {
-            now_ms < received_ms + Self::KEEP_MS
+            now_ms < received_ms + Self::VALID_MS
                 && (report.incarnation, report.sequence) <= (known.incarnation, known.sequence)
         });
         if !is_older {
@@ -237,9 +238,15 @@
     }
 
     /// Computes the messages to send; `None` while no router reports to this one.
-    pub fn collect(&mut self, zone: &str, own: SocketAddr, now_ms: u64) -> Option<CollectedLoads> {
+    pub fn collect(
+        &mut self,
+        zone: &str,
+        own_address: SocketAddr,
+        now_ms: u64,
+    ) -> Option<CollectedLoads> {
         if now_ms >= self.collected_ms + MAX_GAP_MS {
-            // After a pause of its own, earlier reports do not show who is silent now.
+            // After this router was suspended, earlier reports do not show which routers are silent
+            // now.
             self.reports.clear();
             self.lost.clear();
         }
@@ -251,12 +258,13 @@
         let reports = self.reports.values();
         let own = ZoneLoads {
             zone: zone.to_owned(),
-            collector: own,
+            collector: own_address,
             live: self.live(now_ms),
             silent: self.silent(now_ms),
             loads: sum(reports.flat_map(|(report, _)| &report.loads)),
         };
-        // Collectors of one zone may know different routers: use the sums that cover the most.
+        // Collectors of one zone may have reports of different routers: use the sums that cover the
+        // most.
         let mut best: BTreeMap<&str, &ZoneLoads> = BTreeMap::from([(zone, &own)]);
         for ((name, _), (loads, _)) in &self.zones {
             let known = best.entry(name).or_insert(loads);
@@ -275,8 +283,9 @@
         let is_due = now_ms >= self.next_digest_ms;
         if is_due {
             let bytes = loads.len() as u64 * Self::ENTRY_BYTES;
-            let pause_ms = Self::DIGEST_MS.max(bytes * 1_000 / Self::DIGEST_BYTES_PER_S);
-            self.next_digest_ms = now_ms + pause_ms;
+            let interval_ms =
+                Self::DIGEST_INTERVAL_MS.max(bytes * 1_000 / Self::DIGEST_BYTES_PER_S);
+            self.next_digest_ms = now_ms + interval_ms;
         }
         let reporters = self.reports.values().filter(|_| is_due);
         let reporters = reporters.filter_map(|(report, _)| report.reply_to);
@@ -290,9 +299,9 @@
     }
 
     fn remove_expired(&mut self, now_ms: u64) {
-        let is_young = |received_ms: u64| now_ms < received_ms + Self::KEEP_MS;
+        let is_valid = |received_ms: u64| now_ms < received_ms + Self::VALID_MS;
         let reports = self.reports.iter();
-        let ended = reports.filter(|(_, (_, at_ms))| !is_young(*at_ms));
+        let ended = reports.filter(|(_, (_, at_ms))| !is_valid(*at_ms));
         let ended: Vec<(String, u64)> = ended
             .map(|(name, (_, at_ms))| (name.clone(), *at_ms))
             .collect();
@@ -300,18 +309,19 @@
             self.reports.remove(&name);
             self.lost.insert(name, at_ms);
         }
-        self.lost.retain(|_, at_ms| now_ms < *at_ms + Self::LOST_MS);
-        self.zones.retain(|_, (_, at_ms)| is_young(*at_ms));
+        self.lost
+            .retain(|_, at_ms| now_ms < *at_ms + Self::LOST_RETENTION_MS);
+        self.zones.retain(|_, (_, at_ms)| is_valid(*at_ms));
     }
 
-    /// Tags of the routers that report to this one.
+    /// Returns the tags of the routers that report to this one.
     fn live(&self, now_ms: u64) -> Vec<u32> {
         let live = self.reports.iter();
         let live = live.filter(|(_, (_, at_ms))| now_ms < *at_ms + Self::SILENT_MS);
         live.map(|(name, _)| router_tag(name)).collect()
     }
 
-    /// Tags of the routers that reported to this one and no longer do.
+    /// Returns the tags of the routers that reported to this one and no longer do.
     fn silent(&self, now_ms: u64) -> Vec<u32> {
         let late = self.reports.iter();
         let late = late.filter(|(_, (_, at_ms))| now_ms >= *at_ms + Self::SILENT_MS);
--- a/crates/sapphiretrack-routing/src/log_sampling.rs
+++ b/crates/sapphiretrack-routing/src/log_sampling.rs
@@ -10,7 +10,7 @@
     full_per_s: u32,
     second: u64,
     count: u32,
-    keep_one_in: u32,
+    sample_one_in: u32,
 }
 
 impl LogSampling {
@@ -20,22 +20,22 @@
             full_per_s: full_per_s.max(1),
             second: 0,
             count: 0,
-            keep_one_in: 1,
+            sample_one_in: 1,
         }
     }
 
     /// Counts a request and returns whether it is logged in full. The share follows the rate of the
     /// previous second, and falls within a second that is much busier.
-    pub fn keeps(&mut self, id: &str, now_ms: u64) -> bool {
+    pub fn is_sampled(&mut self, id: &str, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if second != self.second {
-            let idle = second > self.second + 1;
-            self.keep_one_in = if idle { 1 } else { self.required_one_in() };
+            let was_idle = second > self.second + 1;
+            self.sample_one_in = if was_idle { 1 } else { self.required_one_in() };
             self.second = second;
             self.count = 0;
         }
         self.count += 1;
-        let one_in = self.keep_one_in.max(self.required_one_in());
+        let one_in = self.sample_one_in.max(self.required_one_in());
         hash_parts(&[id.as_bytes()]).is_multiple_of(u64::from(one_in))
     }
 
--- a/crates/sapphiretrack-routing/src/peer_loads.rs
+++ b/crates/sapphiretrack-routing/src/peer_loads.rs
@@ -18,7 +18,7 @@
     /// Time constant of the averages in milliseconds: several digests, and well below the time in
     /// which the load of a service changes.
     const AVERAGE_MS: f64 = 1_000.0;
-    /// Number of service times after which a count no longer tells who is running at a server.
+    /// Number of service times after which a count no longer shows which requests run at a server.
     const OUTDATED_SERVICE_TIMES: f64 = 5.0;
     /// Averages below this are dropped.
     const MIN_AVERAGE: f64 = 0.01;
@@ -26,15 +26,15 @@
     /// Returns the state after new counts, which are `age_ms` old.
     pub fn update(&self, counts: LoadsByServer, age_ms: u64, now_ms: u64) -> Self {
         let passed_ms = now_ms.saturating_sub(self.received_ms) as f64;
-        let keep = (-passed_ms / Self::AVERAGE_MS).exp();
+        let decay = (-passed_ms / Self::AVERAGE_MS).exp();
         let mut averages: HashMap<u32, f64> = HashMap::with_capacity(counts.len());
         for (server, average) in &self.averages {
-            if average * keep >= Self::MIN_AVERAGE {
-                averages.insert(*server, average * keep);
+            if average * decay >= Self::MIN_AVERAGE {
+                averages.insert(*server, average * decay);
             }
         }
         for (server, (in_flight, _)) in &counts {
-            *averages.entry(*server).or_default() += f64::from(*in_flight) * (1.0 - keep);
+            *averages.entry(*server).or_default() += f64::from(*in_flight) * (1.0 - decay);
         }
         Self {
             counts,
@@ -59,7 +59,7 @@
         self.averages.get(&server).copied().unwrap_or(0.0)
     }
 
-    /// Returns whether the counts are too old to tell which server of a service is free: most of
+    /// Returns whether the counts are too old to show which server of a service is free: most of
     /// the counted requests have ended.
     pub fn is_outdated(&self, service_ms: Option<f64>, now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.received_ms) + self.age_ms;
--- a/crates/sapphiretrack-routing/src/peers.rs
+++ b/crates/sapphiretrack-routing/src/peers.rs
@@ -55,8 +55,8 @@
     pub state: RouterState,
     /// The load it puts on servers; servers without any are omitted.
     pub loads: Vec<ServerLoad>,
-    /// Whether it knows which servers hold which prompt prefixes.
-    pub knows_prefixes: bool,
+    /// Whether it has recorded which servers hold which prompt prefixes.
+    pub has_prefixes: bool,
     /// Prompts that it sent since its last heartbeat.
     pub sent: SentPrompts,
     /// Whether its own calls to the store fail.
@@ -72,7 +72,7 @@
 pub enum RouterMessage {
     /// The periodic state of the sender.
     Heartbeat(Box<Heartbeat>),
-    /// A request for all prompt prefixes that the receiver knows.
+    /// A request for all prompt prefixes that the receiver has recorded.
     AskPrefixes {
         /// Address to which they are sent.
         reply_to: SocketAddr,
@@ -105,7 +105,7 @@
     },
     /// Records of requests that crash servers.
     Crashes {
-        /// Some of the records that the sender knows.
+        /// Some of the sender's records.
         records: Vec<CrashRecord>,
         /// Digest of all records that the sender would send.
         digest: u64,
@@ -153,7 +153,7 @@
     pub cpu_millicores: Option<u32>,
 }
 
-/// The criteria that rank routers before their ids do.
+/// The criteria that rank routers; ids break ties.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RankKey {
     /// Whether its own calls to the store fail.
@@ -181,7 +181,7 @@
     /// Address for messages and listings.
     pub address: SocketAddr,
     /// Whether it is in the own availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -205,7 +205,7 @@
 
     /// Returns the time without heartbeats after which a router no longer counts as live, in
     /// milliseconds. It allows for one lost heartbeat. It follows the interval, since heartbeats
-    /// are rare in a large fleet: with a fixed time routers would alternately take each other for
+    /// are rare in a large fleet: with a fixed time routers would repeatedly count each other as
     /// lost.
     fn liveness_timeout_ms(&self) -> u64 {
         Self::MIN_LIVENESS_TIMEOUT_MS.max(self.heartbeat_interval_ms * 5 / 2)
@@ -238,7 +238,7 @@
     /// a fleet whose heartbeats are rarer.
     const MIN_LOAD_VALID_MS: u64 = 2_000;
     /// Time without heartbeats after which a router is removed, in milliseconds.
-    const FORGET_AFTER_MS: u64 = 30_000;
+    const REMOVE_AFTER_MS: u64 = 30_000;
 
     /// Returns whether a heartbeat is newer than all others received from its router.
     pub fn is_newer(&self, heartbeat: &Heartbeat, now_ms: u64) -> bool {
@@ -274,16 +274,16 @@
             );
             return true;
         };
-        let same_run = heartbeat.incarnation == peer.heartbeat.incarnation;
+        let is_same_run = heartbeat.incarnation == peer.heartbeat.incarnation;
         let was_silent = now_ms >= peer.last_seen_ms + liveness_timeout_ms;
-        let left = same_run && peer.heartbeat.state == RouterState::Leaving;
-        let changed = !same_run || heartbeat.state != peer.heartbeat.state || was_silent;
+        let has_left = is_same_run && peer.heartbeat.state == RouterState::Leaving;
+        let has_changed = !is_same_run || heartbeat.state != peer.heartbeat.state || was_silent;
         peer.last_seen_ms = now_ms;
         peer.heartbeat = heartbeat;
-        if left {
+        if has_left {
             peer.heartbeat.state = RouterState::Leaving;
         }
-        changed && !left
+        has_changed && !has_left
     }
 
     /// Records how up to date the listings of a known router are.
@@ -302,7 +302,7 @@
     /// Removes routers that have been silent for too long to still exist. Returns their names.
     pub fn remove_expired(&mut self, now_ms: u64) -> Vec<String> {
         let lost = self.peers.iter();
-        let lost = lost.filter(|(_, peer)| now_ms >= peer.last_seen_ms + Self::FORGET_AFTER_MS);
+        let lost = lost.filter(|(_, peer)| now_ms >= peer.last_seen_ms + Self::REMOVE_AFTER_MS);
         let lost: Vec<String> = lost.map(|(name, _)| name.clone()).collect();
         for name in &lost {
             self.peers.remove(name);
@@ -311,7 +311,8 @@
     }
 
     /// Returns the availability zone and address of the routers that callers may be sent to.
-    /// `own_proof` is the store's time up to which this router knows the configuration.
+    /// `own_proof` is the time of the store's clock up to which this router's configuration is
+    /// proven to be the newest.
     ///
     /// A router that has fallen behind the others will soon reject keys. Callers are kept away from
     /// it before, unless all routers have fallen behind.
@@ -382,7 +383,7 @@
         let listed = listed.map(|(router, _)| {
             let key = RankKey {
                 is_store_failing: false,
-                // Until its size is known, it is assumed to equal this router's.
+                // An unknown size is assumed to equal this router's.
                 cpu_millicores: router.cpu_millicores.unwrap_or(own.cpu_millicores),
             };
             key.order(&router.name)
@@ -476,17 +477,16 @@
         });
         let holders = live.map(|peer| Holder {
             address: peer.heartbeat.peer_address,
-            is_near: peer.heartbeat.zone == own_zone,
+            is_same_zone: peer.heartbeat.zone == own_zone,
         });
         holders.collect()
     }
 
-    /// Returns the addresses of live routers that know prompt prefixes: those of the own
+    /// Returns the addresses of live routers that have recorded prompt prefixes: those of the own
     /// availability zone if there are any, else all.
     pub fn prefix_sources(&self, own_zone: &str, now_ms: u64) -> Vec<SocketAddr> {
         let live = self.peers.values();
-        let sources =
-            live.filter(|peer| peer.heartbeat.knows_prefixes && self.is_live(peer, now_ms));
+        let sources = live.filter(|peer| peer.heartbeat.has_prefixes && self.is_live(peer, now_ms));
         let (near, far): (Vec<&Peer>, Vec<&Peer>) =
             sources.partition(|peer| peer.heartbeat.zone == own_zone);
         let sources = if near.is_empty() { far } else { near };
@@ -523,10 +523,10 @@
     /// Returns the load of all other routers by server.
     pub fn loads(&self, now_ms: u64) -> LoadsByServer {
         let mut sums = LoadsByServer::new();
-        let alive = self.peers.values();
+        let recent = self.peers.values();
         let load_valid_ms = Self::MIN_LOAD_VALID_MS.max(self.heartbeat_interval_ms * 5 / 4);
-        let alive = alive.filter(|peer| now_ms < peer.last_seen_ms + load_valid_ms);
-        for load in alive.flat_map(|peer| &peer.heartbeat.loads) {
+        let recent = recent.filter(|peer| now_ms < peer.last_seen_ms + load_valid_ms);
+        for load in recent.flat_map(|peer| &peer.heartbeat.loads) {
             let sum = sums.entry(Incarnation(load.server).tag()).or_default();
             sum.0 += u32::from(load.in_flight);
             sum.1 += u64::from(load.prefill_tokens);
--- a/crates/sapphiretrack-routing/src/placement.rs
+++ b/crates/sapphiretrack-routing/src/placement.rs
@@ -90,18 +90,19 @@
     }
 }
 
-/// A server as seen by placement.
+/// A server that placement compares with others.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The server.
     pub server: Incarnation,
     /// Its distance.
     pub distance: Distance,
-    /// Whether it is the home of the prompt's last shared prefix for this request.
+    /// Whether it is the home of the prompt's last shared prefix for this request, see
+    /// [`home_server`].
     pub is_home: bool,
     /// Whether that prefix has several homes, of which this request uses one.
     pub is_hot: bool,
-    /// Requests that all routers have there, as far as known.
+    /// Requests that all routers have there, by the latest counts.
     pub in_flight: u32,
     /// The same, averaged over the last seconds.
     pub average_in_flight: f64,
@@ -189,7 +190,7 @@
 /// is random, since the first of equal candidates wins.
 ///
 /// All routers see the same delayed counts. If each chose the least loaded of all servers, or of
-/// all holders of a common prefix, the one that looked emptiest would get the next requests of all
+/// all holders of a common prefix, the one with the lowest count would get the next requests of all
 /// routers. The least loaded of a few random ones is nearly as good, and differs between routers.
 pub fn sample_candidates<Draw>(candidates: &[Candidate], mut draw: Draw) -> Vec<usize>
 where
@@ -202,12 +203,12 @@
         let first = random_index(count);
         return (first..count).chain(0..first).collect();
     }
-    let most = candidates.iter().map(|one| one.cached_tokens).max();
-    let enough = (most.unwrap_or(0) / 2).max(1);
+    let max_tokens = candidates.iter().map(|one| one.cached_tokens).max();
+    let min_tokens = (max_tokens.unwrap_or(0) / 2).max(1);
     let mut chosen: Vec<usize> = (0..SAMPLE_SIZE).map(|_| random_index(count)).collect();
     chosen.extend(candidates.iter().position(|one| one.is_home));
     let holders = candidates.iter().enumerate();
-    let holders = holders.filter(|(_, one)| one.cached_tokens >= enough);
+    let holders = holders.filter(|(_, one)| one.cached_tokens >= min_tokens);
     let mut holders: Vec<usize> = holders.map(|(index, _)| index).collect();
     for _ in 0..SAMPLE_SIZE.min(holders.len()) {
         chosen.push(holders.swap_remove(random_index(holders.len())));
@@ -236,21 +237,25 @@
         }
         cost
     };
-    let is_open = |index: &usize| {
+    let is_available = |index: &usize| {
         let one = &candidates[*index];
         !one.tried && one.in_flight < one.capacity
     };
-    let cheapest = |open: Vec<usize>| open.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
-    let best = cheapest(sampled.iter().copied().filter(is_open).collect());
-    let good = best.filter(|index| {
+    let cheapest = |available: Vec<usize>| {
+        available
+            .into_iter()
+            .min_by(|a, b| cost(a).total_cmp(&cost(b)))
+    };
+    let best = cheapest(sampled.iter().copied().filter(is_available).collect());
+    let acceptable = best.filter(|index| {
         let one = &candidates[*index];
         !one.suspect && f64::from(one.in_flight) <= bound
     });
-    good.or_else(|| cheapest((0..candidates.len()).filter(is_open).collect()))
+    acceptable.or_else(|| cheapest((0..candidates.len()).filter(is_available).collect()))
 }
 
-/// Returns the index of a random server, for when counts are too old to tell which one is free. If
-/// all routers chose the one that looked emptiest, it would get all requests until the next counts
+/// Returns the index of a random server, for when counts are too old to show which one is free. If
+/// all routers chose the one with the lowest count, it would get all requests until the next counts
 /// arrive.
 ///
 /// The weight of a server is its number of slots, reduced if it has been busier than the others for
@@ -263,10 +268,10 @@
 {
     let untried = candidates.iter().filter(|one| !one.tried);
     let slots: f64 = untried.clone().map(|one| f64::from(one.slots)).sum();
-    let open: f64 = untried
+    let accepting_slots: f64 = untried
         .map(|one| f64::from(one.slots) * admission_share(one))
         .sum();
-    if draw() * slots >= open {
+    if draw() * slots >= accepting_slots {
         return None;
     }
     let has_healthy = candidates
@@ -281,14 +286,14 @@
         }
     };
     let total: f64 = candidates.iter().map(weight).sum();
-    let mut left = draw().clamp(0.0, 1.0) * total;
+    let mut remaining = draw().clamp(0.0, 1.0) * total;
     let mut last = None;
     for (index, one) in candidates.iter().enumerate() {
         let weight = weight(one);
         if weight > 0.0 {
             last = Some(index);
-            left -= weight;
-            if left < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 break;
             }
         }
@@ -298,9 +303,9 @@
 
 /// Returns the share of requests that a server accepts: all up to half of its capacity, none from
 /// four thirds of it.
-fn admission_share(one: &Candidate) -> f64 {
-    let taken = one.average_in_flight / f64::from(one.capacity.max(1));
-    (1.6 - 1.2 * taken).clamp(0.0, 1.0)
+fn admission_share(candidate: &Candidate) -> f64 {
+    let utilization = candidate.average_in_flight / f64::from(candidate.capacity.max(1));
+    (1.6 - 1.2 * utilization).clamp(0.0, 1.0)
 }
 
 /// Returns the cost of a request at a server, without the load bound.
@@ -308,30 +313,34 @@
     costs: &PlacementCosts,
     is_engine: bool,
     prompt_tokens: u32,
-    one: &Candidate,
+    candidate: &Candidate,
 ) -> f64 {
     // A hot prefix is soon cached at all of its homes; the current holders must not attract all of
     // its requests.
-    let cached = if one.is_hot { 0 } else { one.cached_tokens };
+    let cached = if candidate.is_hot {
+        0
+    } else {
+        candidate.cached_tokens
+    };
     let uncached = f64::from(prompt_tokens.saturating_sub(cached));
     let request_ms = match is_engine {
         true => costs.engine_request_ms,
         false => costs.plain_request_ms,
     };
-    let mut cost = f64::from(one.in_flight) * request_ms;
+    let mut cost = f64::from(candidate.in_flight) * request_ms;
     if is_engine {
-        cost += (uncached + one.prefill_tokens as f64) / costs.prefill_tokens_per_ms;
+        cost += (uncached + candidate.prefill_tokens as f64) / costs.prefill_tokens_per_ms;
     }
-    if one.is_home {
+    if candidate.is_home {
         cost -= MIN_HOME_BONUS_MS + uncached * costs.home_part / costs.prefill_tokens_per_ms;
     }
-    cost += match one.distance {
+    cost += match candidate.distance {
         Distance::SameZone => 0.0,
         Distance::SameRegion => costs.other_zone_ms,
         Distance::OtherRegion => costs.other_region_ms,
     };
-    if one.suspect {
+    if candidate.suspect {
         cost += costs.suspect_ms;
     }
-    cost + one.failure_share * costs.failure_ms
+    cost + candidate.failure_share * costs.failure_ms
 }
--- a/crates/sapphiretrack-routing/src/prefix_index.rs
+++ b/crates/sapphiretrack-routing/src/prefix_index.rs
@@ -40,8 +40,9 @@
     pub private: Vec<SentTokens>,
 }
 
-/// A bounded index of sent prefixes. Routers advertise what they sent, so that all know the holders
-/// of a prefix: a single router sees each prefix too rarely to learn them itself.
+/// A bounded index of sent prefixes. Routers advertise what they sent, so that every router can
+/// determine the holders of a prefix: the requests of a single router contain each prefix too
+/// rarely for that.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     settings: WarmSettings,
@@ -95,7 +96,7 @@
     /// Replaces the settings.
     pub fn set_settings(&mut self, settings: WarmSettings) {
         self.settings = settings;
-        self.use_capacities();
+        self.apply_capacities();
     }
 
     /// Sets the number of tokens that fit into the memory of each listed engine. The caches of
@@ -108,10 +109,10 @@
             self.capacities.contains_key(server) || !cache.is_idle_since(oldest_ms)
         });
         self.entry_count = self.caches.values().map(ServerCache::len).sum();
-        self.use_capacities();
+        self.apply_capacities();
     }
 
-    fn use_capacities(&mut self) {
+    fn apply_capacities(&mut self) {
         for (server, cache) in &mut self.caches {
             if self.capacities.contains_key(server) {
                 cache.set_capacity(usable_capacity(&self.settings, &self.capacities, *server));
@@ -124,7 +125,7 @@
         for prefix in facts.shared_prefixes() {
             self.record_prefix(server, *prefix, now_ms);
             self.count_send(prefix.id, now_ms);
-            // Prefixes that do not fit into a heartbeat are known only to this router.
+            // Prefixes that do not fit into a heartbeat are recorded only by this router.
             if self.pending.prefixes.len() < Self::PREFIXES_IN_HEARTBEAT {
                 self.pending.prefixes.push(SentPrefix {
                     server: server.0,
@@ -140,8 +141,8 @@
         self.count_private(server, tokens);
     }
 
-    /// Records the answer of a router that was asked for prefixes. It tells who holds them and does
-    /// not count as sends.
+    /// Records the answer of a router that was asked for prefixes. It shows which servers hold them
+    /// and does not count as sends.
     pub fn record_holdings(&mut self, holdings: &[SentPrefix], now_ms: u64) {
         for held in holdings {
             self.record_prefix(Incarnation(held.server), held.prompt_prefix(), now_ms);
@@ -166,13 +167,13 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// Returns the most recently used prefixes, newest first, for a router that knows none.
+    /// Returns the most recently used prefixes, newest first, for a router that has none yet.
     pub fn newest(&self, limit: usize, now_ms: u64) -> Vec<SentPrefix> {
         let mut prefixes: Vec<(u64, SentPrefix)> = Vec::new();
         for (server, cache) in &self.caches {
-            let young = cache.held();
-            let young = young.filter(|(_, _, used_ms)| now_ms < used_ms + self.settings.keep_ms);
-            prefixes.extend(young.map(|(prefix, tokens, used_ms)| {
+            let recent = cache.held();
+            let recent = recent.filter(|(_, _, used_ms)| now_ms < used_ms + self.settings.keep_ms);
+            prefixes.extend(recent.map(|(prefix, tokens, used_ms)| {
                 let server = server.0;
                 (
                     used_ms,
@@ -261,7 +262,7 @@
             one.requests = one.requests.saturating_add(1);
             return;
         }
-        // Tokens that do not fit into a heartbeat are known only to this router.
+        // Tokens that do not fit into a heartbeat are recorded only by this router.
         if private.len() < Self::PREFIXES_IN_HEARTBEAT {
             private.push(SentTokens {
                 server: server.0,
@@ -279,7 +280,7 @@
         for keep_ms in [self.settings.keep_ms, self.settings.keep_ms / 4] {
             self.entry_count = 0;
             for cache in self.caches.values_mut() {
-                cache.forget_before(now_ms.saturating_sub(keep_ms));
+                cache.remove_before(now_ms.saturating_sub(keep_ms));
                 self.entry_count += cache.len();
             }
             if self.entry_count * 2 <= self.max_entries() {
--- a/crates/sapphiretrack-routing/src/request.rs
+++ b/crates/sapphiretrack-routing/src/request.rs
@@ -1,4 +1,5 @@
-//! The facts about a request that decisions need; method, headers and body stay opaque.
+//! The facts about a request that routing decisions are based on; method, headers and body stay
+//! opaque.
 
 use std::sync::Arc;
 
--- a/crates/sapphiretrack-routing/src/retry_share.rs
+++ b/crates/sapphiretrack-routing/src/retry_share.rs
@@ -30,7 +30,7 @@
 /// Counts requests and retries of each service, and decides whether one more retry is within this
 /// router's share.
 ///
-/// A router does not know how many retries the others make, so each keeps to a share such that all
+/// A router has no count of the other routers' retries, so each is limited to a share such that all
 /// shares add up to less than the budget: its own requests times the ratio, and the fixed part
 /// divided by the number of routers that may exist. Half of the fixed part is reserved for routers
 /// that restarted and lost their counts.
@@ -66,7 +66,7 @@
     const RATIO_FRACTION: f64 = 0.7;
     /// Fraction of the fixed part that is used in one window; a restarted router may use it again.
     const FIXED_FRACTION: f64 = 0.5;
-    /// Share of failed attempts above which a service counts as failing as a whole.
+    /// Share of failed attempts above which a service as a whole counts as failing.
     const FAILING_SHARE: f64 = 0.5;
     /// Minimum number of ended attempts for that decision.
     const MIN_ENDED: u32 = 10;
--- a/crates/sapphiretrack-routing/src/send_rate.rs
+++ b/crates/sapphiretrack-routing/src/send_rate.rs
@@ -37,8 +37,8 @@
             _ => return 0.0,
         };
         // The fraction of the previous slice that lies within one slice length before now.
-        let kept = 1.0 - since_ms / Self::SLICE_MS as f64;
-        let sends = f64::from(count) + f64::from(previous_count) * kept;
+        let previous_fraction = 1.0 - since_ms / Self::SLICE_MS as f64;
+        let sends = f64::from(count) + f64::from(previous_count) * previous_fraction;
         sends * 1_000.0 / Self::SLICE_MS as f64
     }
 
--- a/crates/sapphiretrack-routing/src/server_cache.rs
+++ b/crates/sapphiretrack-routing/src/server_cache.rs
@@ -73,7 +73,7 @@
     }
 
     /// Removes prefixes last used before a time, and those assumed to have been evicted.
-    pub(crate) fn forget_before(&mut self, before_ms: u64) {
+    pub(crate) fn remove_before(&mut self, before_ms: u64) {
         let horizon_slice = self.horizon_slice;
         self.prefixes.retain(|_, one| {
             one.used_ms >= before_ms && one.used_ms / Self::SLICE_MS >= horizon_slice
--- a/crates/sapphiretrack-routing/src/server_health.rs
+++ b/crates/sapphiretrack-routing/src/server_health.rs
@@ -1,4 +1,4 @@
-//! Health of one backend server, judged by this router's own requests.
+//! Health of one backend server, as observed on this router's own requests.
 
 /// Thresholds for unhealthy servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/sapphiretrack-routing/src/server_list.rs
+++ b/crates/sapphiretrack-routing/src/server_list.rs
@@ -97,10 +97,10 @@
     /// Time within which entries that lapsed during an outage are restored by the store's contract,
     /// in milliseconds, plus a tenth for the transmission.
     const RECOVERY_GRACE_MS: u64 = 2_200;
-    /// The same if only another router saw an outage. The cause may have been that router's own,
-    /// and a server that is gone must not still be used after two seconds.
+    /// The same if only another router observed an outage. The cause may have been that router's
+    /// own, and a server that is gone must not still be used after two seconds.
     const PEER_RECOVERY_GRACE_MS: u64 = 1_800;
-    /// Maximum number of drained incarnations remembered.
+    /// Maximum number of drained incarnations kept.
     const MAX_DRAINED: usize = 10_000;
 
     /// Records that the store answers this router again after an outage.
@@ -108,14 +108,15 @@
         self.recovery_grace_until_ms = now_ms + Self::RECOVERY_GRACE_MS;
     }
 
-    /// Records the time at which another router saw the store recover from an outage, which this
-    /// router may not have noticed. Idempotent.
+    /// Records the time at which another router observed that the store recovered from an outage,
+    /// which this router may not have observed. Idempotent.
     pub fn record_peer_recovery(&mut self, recovered_ms: u64) {
         let until_ms = recovered_ms + Self::PEER_RECOVERY_GRACE_MS;
         self.recovery_grace_until_ms = self.recovery_grace_until_ms.max(until_ms);
     }
 
-    /// Inserts or updates an entry. Returns true if the server is draining and was not known to be.
+    /// Inserts or updates an entry. Returns true if the server is draining and was not recorded as
+    /// draining before.
     pub fn upsert(&mut self, entry: ServerEntry) -> bool {
         if entry.state == ServerState::Draining {
             if self.drained.len() >= Self::MAX_DRAINED {
@@ -164,13 +165,13 @@
         if now_ms < self.recovery_grace_until_ms {
             return Vec::new();
         }
-        let late = self.servers.iter();
-        let late = late.filter(|(_, listed)| listed.missing_since_ms.is_some());
-        let late: Vec<Arc<str>> = late.map(|(id, _)| id.clone()).collect();
-        for id in &late {
+        let expired = self.servers.iter();
+        let expired = expired.filter(|(_, listed)| listed.missing_since_ms.is_some());
+        let expired: Vec<Arc<str>> = expired.map(|(id, _)| id.clone()).collect();
+        for id in &expired {
             self.servers.remove(id);
         }
-        late
+        expired
     }
 
     /// Returns whether this run of a server is listed.
--- a/crates/sapphiretrack-routing/src/stop.rs
+++ b/crates/sapphiretrack-routing/src/stop.rs
@@ -10,7 +10,7 @@
 /// The phase of a stopping router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopPhase {
-    /// It still accepts requests, since callers may have lookups that name it.
+    /// It still accepts requests, since callers may have cached lookups that contain its address.
     Serving,
     /// It rejects new requests as not run, and completes those in flight.
     Draining,
--- a/crates/sapphiretrack-routing/src/watch_state.rs
+++ b/crates/sapphiretrack-routing/src/watch_state.rs
@@ -1,5 +1,5 @@
-//! Tracks up to which version a router knows a listing of the store, and what it learns about the
-//! listing from other routers.
+//! Tracks the version of a listing that a router has read, and what other routers advertise about
+//! the listing.
 
 use serde::{Deserialize, Serialize};
 
@@ -37,7 +37,7 @@
     failing_since_ms: Option<u64>,
 }
 
-/// The parts of an answer of the store that tell how up to date a listing is.
+/// The parts of an answer of the store that show how up to date a listing is.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchAnswer {
     /// Whether the answer may omit removals of records, as a whole listing does.
@@ -46,7 +46,7 @@
     pub sent_ms: u64,
     /// Time at which the answer arrived, in local milliseconds.
     pub received_ms: u64,
-    /// Version up to which all changes are known with this answer.
+    /// Version up to which the answer contains all changes.
     pub version: u64,
     /// Version of the last change in the answer, if it contains any.
     pub changed_version: Option<u64>,
@@ -66,7 +66,7 @@
     pub fn record_clock(&mut self, sent_ms: u64, received_ms: u64, store_now_ms: u64) {
         self.freshness
             .record_clock(sent_ms, received_ms, store_now_ms);
-        // A proof that arrived before the clock was known counts from now on.
+        // A proof that arrived before the store's clock was mapped counts from now on.
         if let Some(store_ms) = self.advert.proven_store_ms {
             self.freshness.record_proof(store_ms, received_ms);
         }
@@ -80,7 +80,7 @@
         let age_ms = self.age_ms(received_ms).unwrap_or(received_ms);
         let proven_ms = received_ms.saturating_sub(age_ms);
         let failing_since_ms = self.failing_since_ms.take();
-        let away_since_ms = failing_since_ms.filter(|since| proven_ms <= *since);
+        let outage_since_ms = failing_since_ms.filter(|since| proven_ms <= *since);
         let sent_ms = answer.sent_ms;
         self.freshness
             .record_answer(sent_ms, received_ms, answer.store_now_ms);
@@ -93,7 +93,7 @@
         self.advert.changed_version = self.advert.changed_version.max(changed);
         self.advert.proven_store_ms = Some(answer.store_now_ms);
         self.update_behind(received_ms);
-        away_since_ms.map_or(0, |since| received_ms.saturating_sub(since))
+        outage_since_ms.map_or(0, |since| received_ms.saturating_sub(since))
     }
 
     /// Records what another router advertises. Returns true if a change is missing here.
@@ -178,7 +178,8 @@
         self.advert.changed_version
     }
 
-    /// Returns the minimum version of a listing that is of use here.
+    /// Returns the minimum version that a listing of another router must have to supply what is
+    /// missing here.
     pub fn wanted_version(&self) -> u64 {
         match self.has_listing() {
             true => self.advertised_version,
@@ -186,13 +187,13 @@
         }
     }
 
-    /// Returns whether the listing was ever known here, even if its current version is not.
+    /// Returns whether the listing was ever read here, even if its version was cleared.
     fn has_listing(&self) -> bool {
         self.version.is_some() || self.advert.changed_version > 0
     }
 
     /// Clears the version, so that the listing is read from scratch.
-    pub fn forget_version(&mut self) {
+    pub fn clear_version(&mut self) {
         self.version = None;
     }
 
@@ -207,9 +208,9 @@
             .is_some_and(|version| self.advertised_version > version)
     }
 
-    /// Time in milliseconds that a router has to read a change that it learns of after an outage of
-    /// the store. It kept serving with its old state until then, and all other routers learn of the
-    /// change at the same moment.
+    /// Time in milliseconds that a router has to read a change that is advertised after an outage
+    /// of the store. It kept serving with its old state until then, and all other routers receive
+    /// the advert at the same moment.
     const CATCH_UP_MS: u64 = 500;
 
     /// Returns whether the local state may be used to decide about an event at `at_ms`: either
--- a/crates/sapphiretrack-routing/tests/crash_evidence.rs
+++ b/crates/sapphiretrack-routing/tests/crash_evidence.rs
@@ -131,12 +131,12 @@
         evidence.merge(&before, 0);
         let voided = evidence.record_answered(fingerprint(request), 0);
         prop_assert_eq!(evidence.crashes(fingerprint(request)), 0);
-        // Another router that still holds the crashes learns that they are void.
+        // The voided records also void the crashes at another router.
         let mut other = CrashEvidence::default();
         other.merge(&before, 0);
         other.merge(&voided, 0);
         prop_assert_eq!(other.crashes(fingerprint(request)), 0);
-        // The same records arrive again from a router that does not know of the answer.
+        // The same records arrive again from a router that has no record of the answer.
         evidence.merge(&before, 0);
         prop_assert_eq!(evidence.crashes(fingerprint(request)), 0);
         // From then on only crashes of other servers count.
@@ -187,21 +187,21 @@
     for server in 0..MAX_CRASHES as u64 {
         evidence.record_crash(fingerprint(0), server, 5);
     }
-    let flood = 3 * CrashEvidence::MAX_REQUESTS as u64;
-    for request in 1..flood {
+    let request_count = 3 * CrashEvidence::MAX_REQUESTS as u64;
+    for request in 1..request_count {
         evidence.record_crash(fingerprint(request), 7, 10 + request);
     }
-    let kept = evidence.records(1, usize::MAX, flood);
+    let kept = evidence.records(1, usize::MAX, request_count);
     assert!(kept.len() <= CrashEvidence::MAX_REQUESTS + MAX_CRASHES);
     assert_eq!(evidence.crashes(fingerprint(0)), MAX_CRASHES);
     assert_eq!(evidence.crashes(fingerprint(1)), 0, "the oldest is dropped");
-    assert_eq!(evidence.crashes(fingerprint(flood - 1)), 1);
+    assert_eq!(evidence.crashes(fingerprint(request_count - 1)), 1);
     assert_eq!(
-        evidence.records(1, MAX_CRASHES, flood)[0].fingerprint,
+        evidence.records(1, MAX_CRASHES, request_count)[0].fingerprint,
         fingerprint(0)
     );
     for server in 0..1_000 {
-        evidence.record_crash(fingerprint(0), server, flood);
+        evidence.record_crash(fingerprint(0), server, request_count);
     }
     assert!(evidence.crashes(fingerprint(0)) <= CrashEvidence::MAX_SERVERS);
 }
@@ -240,7 +240,7 @@
             .iter()
             .any(|one| evidence.is_shared(one.fingerprint));
         let router_count = self.routers.len();
-        // During a partition a router in the upper half regards only its own half as live.
+        // During a partition a router of the upper half counts only its own half as live.
         let is_partitioned = now_ms < self.partition_until_ms && from >= router_count / 2;
         let first = if is_partitioned { router_count / 2 } else { 0 };
         let (to, records): (Vec<usize>, _) = match is_shared {
@@ -270,10 +270,11 @@
                 if !self.is_delivered(from, to, now_ms) {
                     continue;
                 }
-                let news = self.routers[to].merge(&records, now_ms);
-                let is_second = !news.is_empty() && self.routers[to].is_shared(news[0].fingerprint);
+                let new_records = self.routers[to].merge(&records, now_ms);
+                let is_second = !new_records.is_empty()
+                    && self.routers[to].is_shared(new_records[0].fingerprint);
                 if is_report && is_second {
-                    self.send(to, &news, now_ms);
+                    self.send(to, &new_records, now_ms);
                 }
             }
         }
--- a/crates/sapphiretrack-routing/tests/heartbeat_pace.rs
+++ b/crates/sapphiretrack-routing/tests/heartbeat_pace.rs
@@ -12,11 +12,11 @@
 /// interval, so that the others need its load sooner.
 #[test]
 fn heartbeats_are_more_frequent_in_a_small_fleet() {
-    assert_eq!(PACE.pause_ms(1), 100);
-    assert_eq!(PACE.pause_ms(7), 100);
-    assert_eq!(PACE.pause_ms(12), 125);
-    assert_eq!(PACE.pause_ms(24), 250);
-    assert_eq!(PACE.pause_ms(359), 250);
+    assert_eq!(PACE.send_interval_ms(1), 100);
+    assert_eq!(PACE.send_interval_ms(7), 100);
+    assert_eq!(PACE.send_interval_ms(12), 125);
+    assert_eq!(PACE.send_interval_ms(24), 250);
+    assert_eq!(PACE.send_interval_ms(359), 250);
 }
 
 #[test]
@@ -24,7 +24,7 @@
     let max_per_s = PACE.fan_out as f64 * 1_000.0 / PACE.heartbeat_ms as f64;
     for routers in 0..400 {
         let recipients = routers.min(PACE.fan_out) as f64;
-        let per_s = recipients * 1_000.0 / PACE.pause_ms(routers) as f64;
+        let per_s = recipients * 1_000.0 / PACE.send_interval_ms(routers) as f64;
         assert!(
             per_s <= max_per_s,
             "{per_s} datagrams per second to {routers} routers"
--- a/crates/sapphiretrack-routing/tests/large_listing.rs
+++ b/crates/sapphiretrack-routing/tests/large_listing.rs
@@ -25,7 +25,7 @@
 fn holder(index: usize) -> Holder {
     Holder {
         address: ([10, 0, (index / 250) as u8, (index % 250) as u8], 80).into(),
-        is_near: true,
+        is_same_zone: true,
     }
 }
 
@@ -39,7 +39,8 @@
 #[derive(Clone, Default)]
 struct Router {
     source: ListingSource,
-    /// Other routers that have the listing, or are reading it, as far as this one knows.
+    /// Other routers that, by the adverts and suggestions that this one received, have the listing
+    /// or are reading it.
     known_holders: Vec<usize>,
     /// When the current call ends, and its kind.
     call: Option<(u64, Call)>,
@@ -263,7 +264,7 @@
         }
         let debug = format!("{assembly:?}");
         prop_assert!(debug.matches("count: 3").count() <= 4);
-        assembly.forget_until(count);
+        assembly.drop_until(count);
         let debug = format!("{assembly:?}");
         prop_assert!(!debug.contains("count: 3"));
     }
--- a/crates/sapphiretrack-routing/tests/listing_source.rs
+++ b/crates/sapphiretrack-routing/tests/listing_source.rs
@@ -22,7 +22,7 @@
 fn holder(index: usize) -> Holder {
     Holder {
         address: ([10, 0, (index / 250) as u8, (index % 250) as u8], 80).into(),
-        is_near: index.is_multiple_of(5),
+        is_same_zone: index.is_multiple_of(5),
     }
 }
 
@@ -31,7 +31,7 @@
 struct Router {
     source: ListingSource,
     has_content: bool,
-    /// Other routers that have the content, as far as this one knows.
+    /// Other routers whose heartbeats showed this one that they have the content.
     known_holders: Vec<usize>,
     /// When the current call ends, and the router that was asked; none for the store.
     call: Option<(u64, Option<usize>)>,
--- a/crates/sapphiretrack-routing/tests/log_sampling.rs
+++ b/crates/sapphiretrack-routing/tests/log_sampling.rs
@@ -9,7 +9,7 @@
         let steps = 0..u64::from(per_s);
         let kept = steps.filter(|step| {
             let now_ms = second * 1_000 + step * 1_000 / u64::from(per_s);
-            sampling.keeps(&format!("{second}-{step}"), now_ms)
+            sampling.is_sampled(&format!("{second}-{step}"), now_ms)
         });
         kept.count()
     };
@@ -42,6 +42,9 @@
     let mut sampling_b = LogSampling::new(100);
     for step in 0..1_000 {
         let id = format!("r{step}");
-        assert_eq!(sampling_a.keeps(&id, 500), sampling_b.keeps(&id, 500));
+        assert_eq!(
+            sampling_a.is_sampled(&id, 500),
+            sampling_b.is_sampled(&id, 500)
+        );
     }
 }
--- a/crates/sapphiretrack-routing/tests/messages.rs
+++ b/crates/sapphiretrack-routing/tests/messages.rs
@@ -143,7 +143,7 @@
             peer_address: ([10, 0, 0, 3], 2).into(),
             state: RouterState::Ready,
             loads,
-            knows_prefixes: true,
+            has_prefixes: true,
             sent: SentPrompts { prefixes, private },
             is_store_failing: false,
             configuration: advert,
--- a/crates/sapphiretrack-routing/tests/peers.rs
+++ b/crates/sapphiretrack-routing/tests/peers.rs
@@ -20,7 +20,7 @@
             in_flight: 2,
             prefill_tokens: 100,
         }],
-        knows_prefixes: false,
+        has_prefixes: false,
         sent: SentPrompts::default(),
         is_store_failing: false,
         configuration: ListingAdvert::default(),
@@ -264,7 +264,7 @@
     peers.record(advertising("starting", 0, None), 0);
     let holders = |version, now_ms| {
         let holders = peers.holders("z", version, |heartbeat| &heartbeat.servers, now_ms);
-        assert!(holders.iter().all(|holder| holder.is_near));
+        assert!(holders.iter().all(|holder| holder.is_same_zone));
         holders.len()
     };
     assert_eq!(holders(12, 100), 1);
--- a/crates/sapphiretrack-routing/tests/placement.rs
+++ b/crates/sapphiretrack-routing/tests/placement.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn prefixes_sent_by_any_router_are_remembered_for_a_limited_time() {
+fn prefixes_sent_by_any_router_are_recorded_for_a_limited_time() {
     let prefixes = [
         PromptPrefix { id: 1, tokens: 100 },
         PromptPrefix { id: 2, tokens: 50 },
@@ -205,7 +205,7 @@
 /// Guards against a bound on the index that is too small for a large pool: 256 engines with 250
 /// prefixes each.
 #[test]
-fn the_index_remembers_the_prefixes_of_all_engines_of_a_large_pool() {
+fn the_index_holds_the_prefixes_of_all_engines_of_a_large_pool() {
     let mut prefix_index = PrefixIndex::default();
     let engines = 256;
     let capacities = (0..engines).map(|engine| (Incarnation(engine), 1_000_000));
@@ -372,10 +372,10 @@
     let mut load = [10_u32; SERVERS];
     load[7] = 2;
     load[8] = 3;
-    let seen = load;
+    let initial_load = load;
     let candidates: Vec<Candidate> = (0..SERVERS)
         .map(|index| Candidate {
-            in_flight: seen[index],
+            in_flight: initial_load[index],
             ..candidate(index as u64)
         })
         .collect();
@@ -388,18 +388,18 @@
     // The requests that ran at the start have ended by then.
     let added: Vec<u32> = load
         .iter()
-        .zip(seen)
-        .map(|(load, seen)| load - seen)
+        .zip(initial_load)
+        .map(|(load, initial_load)| load - initial_load)
         .collect();
     let max_added = added.iter().copied().max().expect("there are servers");
     assert!(
         max_added <= 2 * 10 + 25,
         "{max_added} of 600 requests at one server, where the mean is 10"
     );
-    let crowded: u32 = added.iter().filter(|load| **load > 2 * 10 + 3).sum();
+    let at_loaded_servers: u32 = added.iter().filter(|load| **load > 2 * 10 + 3).sum();
     assert!(
-        crowded <= 600 / 8,
-        "{crowded} of 600 requests at servers with more than twice the mean plus 3"
+        at_loaded_servers <= 600 / 8,
+        "{at_loaded_servers} of 600 requests at servers with more than twice the mean plus 3"
     );
 }
 
@@ -463,7 +463,7 @@
         let chosen = choose_server(&costs, true, PROMPT_TOKENS, &candidates, &compared_indices);
         requests_at[chosen.expect("all servers have capacity")] += 1;
     }
-    // Each of 512 requests draws 3 of 100 holders and 3 of all servers: about 1 in 24 meets the
-    // idle one.
+    // Each of 512 requests draws 3 of 100 holders and 3 of all servers: about 1 in 24 has the idle
+    // one among them.
     assert!(requests_at[7] <= 40, "{}", requests_at[7]);
 }
--- a/crates/sapphiretrack-routing/tests/prefix_recovery.rs
+++ b/crates/sapphiretrack-routing/tests/prefix_recovery.rs
@@ -1,5 +1,5 @@
-//! A starting router learns which servers hold which prompt prefixes from other routers, or from
-//! the servers if all routers started at once.
+//! A starting router gets the prompt prefixes that servers hold from other routers, or from the
+//! servers if all routers started at once.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_router_that_starts_alone_asks_one_that_knows_the_prefixes() {
+fn a_router_that_starts_alone_asks_one_that_has_the_prefixes() {
     let recovery = PrefixRecovery::new(false, 1_000);
     let sources = [router(1), router(2)];
     let ask = |draw| recovery.next_step(&sources, 0, draw, 1_010);
@@ -43,16 +43,16 @@
 #[test]
 fn a_router_that_received_the_prefixes_stops_asking_and_may_be_asked() {
     let mut recovery = PrefixRecovery::new(false, 1_000);
-    assert!(!recovery.knows(2_000));
-    assert!(recovery.knows(40_000), "older prefixes have expired");
-    recovery.record_advertised();
-    assert!(recovery.knows(2_000));
+    assert!(!recovery.has_prefixes(2_000));
+    assert!(recovery.has_prefixes(40_000), "older prefixes have expired");
+    recovery.record_received();
+    assert!(recovery.has_prefixes(2_000));
     assert_eq!(
         recovery.next_step(&[router(1)], 0, 0.5, 2_000),
         PrefixStep::Wait
     );
     assert!(
-        PrefixRecovery::new(true, 1_000).knows(1_000),
+        PrefixRecovery::new(true, 1_000).has_prefixes(1_000),
         "no server holds a prefix at the first start"
     );
 }
@@ -89,29 +89,29 @@
     use rand::{RngExt, SeedableRng};
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(3);
     let routers = 295;
-    let mut serving = vec![PrefixReplyLimiter::default(); routers];
-    let mut knows = vec![false; routers];
-    knows[0] = true;
+    let mut limiters = vec![PrefixReplyLimiter::default(); routers];
+    let mut has_prefixes = vec![false; routers];
+    has_prefixes[0] = true;
     let mut max_served = 0;
     for round in 0..8_u64 {
-        let sources: Vec<usize> = (0..routers).filter(|index| knows[*index]).collect();
+        let sources: Vec<usize> = (0..routers).filter(|index| has_prefixes[*index]).collect();
         let mut served = vec![0; routers];
-        let askers = (0..routers).filter(|index| !knows[*index]);
-        let informed = askers.filter(|_| {
+        let askers = (0..routers).filter(|index| !has_prefixes[*index]);
+        let served_routers = askers.filter(|_| {
             let source = sources[random.random_range(0..sources.len())];
-            let is_served = serving[source].try_serve(round * 250);
+            let is_served = limiters[source].try_serve(round * 250);
             served[source] += u32::from(is_served);
             is_served
         });
-        let informed: Vec<usize> = informed.collect();
-        for index in informed {
-            knows[index] = true;
+        let served_routers: Vec<usize> = served_routers.collect();
+        for index in served_routers {
+            has_prefixes[index] = true;
         }
         max_served = served.into_iter().max().unwrap_or(0).max(max_served);
     }
     assert!(max_served <= 8, "one router serves {max_served} at a time");
     assert!(
-        knows.iter().all(|knows| *knows),
-        "all routers know the prefixes within two seconds"
+        has_prefixes.iter().all(|has_prefixes| *has_prefixes),
+        "all routers have the prefixes within two seconds"
     );
 }
--- a/crates/sapphiretrack-routing/tests/retry_share.rs
+++ b/crates/sapphiretrack-routing/tests/retry_share.rs
@@ -19,7 +19,7 @@
         let mut shares = vec![RetryShare::new(SETTINGS); routers];
         let mut now_ms = 100_000;
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for (router, pause_ms, kind) in steps {
             now_ms += pause_ms;
             let share = &mut shares[router % routers];
@@ -27,22 +27,22 @@
                 share.record_request("s", now_ms);
                 requests.push(now_ms);
             } else if share.try_retry("s", routers, now_ms) {
-                repeats.push(now_ms);
+                retries.push(now_ms);
             }
         }
-        // Compares the repeats in any window with the requests in that window, in the one before,
+        // Compares the retries in any window with the requests in that window, in the one before,
         // or in the one that starts half a window earlier, whichever are the most.
-        for &start in &repeats {
-            let within = |times: &[u64], from: u64, to: u64| {
+        for &start in &retries {
+            let count_within = |times: &[u64], from: u64, to: u64| {
                 times.iter().filter(|time| (from..to).contains(*time)).count() as f64
             };
             let end = start + SETTINGS.window_ms;
-            let spent = within(&repeats, start, end);
-            let earned = within(&requests, start, end)
-                .max(within(&requests, start - SETTINGS.window_ms, start))
-                .max(within(&requests, start - SETTINGS.window_ms / 2, end - SETTINGS.window_ms / 2));
-            let budget = earned * SETTINGS.ratio + SETTINGS.fixed;
-            prop_assert!(spent <= budget, "{spent} repeats on {earned} requests");
+            let spent_retries = count_within(&retries, start, end);
+            let counted_requests = count_within(&requests, start, end)
+                .max(count_within(&requests, start - SETTINGS.window_ms, start))
+                .max(count_within(&requests, start - SETTINGS.window_ms / 2, end - SETTINGS.window_ms / 2));
+            let budget = counted_requests * SETTINGS.ratio + SETTINGS.fixed;
+            prop_assert!(spent_retries <= budget, "{spent_retries} retries on {counted_requests} requests");
         }
     }
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn spent_repeats_do_not_count_after_the_window() {
+fn spent_retries_do_not_count_after_the_window() {
     let mut share = RetryShare::new(RetrySettings {
         ratio: 0.0,
         fixed: 4.0,
@@ -75,10 +75,9 @@
     assert!(share.try_retry("s", 1, 10_500));
 }
 
-/// Guards against second attempts that take the place of first ones at a service without free
-/// capacity.
+/// Guards against retries that displace first attempts at a service without free capacity.
 #[test]
-fn a_full_service_gets_no_second_attempts_until_it_had_capacity_for_a_while() {
+fn a_full_service_gets_no_retries_until_it_had_capacity_for_a_while() {
     let mut share = RetryShare::new(SETTINGS);
     assert!(!share.is_full("s", 100_000));
     assert!(share.record_full("s", 100_000), "it was not full before");
--- a/crates/sapphiretrack-routing/tests/server_memory.rs
+++ b/crates/sapphiretrack-routing/tests/server_memory.rs
@@ -15,7 +15,7 @@
     PromptPrefix { id, tokens: 10_000 }
 }
 
-/// An index that knows one engine, which has a memory of [`MEMORY_TOKENS`].
+/// An index with one engine, which has a memory of [`MEMORY_TOKENS`].
 fn index_with(settings: WarmSettings) -> PrefixIndex {
     let mut index = PrefixIndex::default();
     index.set_settings(settings);
@@ -156,7 +156,7 @@
 
 /// Guards against state that grows while servers are replaced one after the other all day.
 #[test]
-fn removed_servers_are_forgotten_after_a_delay() {
+fn removed_servers_are_dropped_after_a_delay() {
     let mut index = index_with(WarmSettings::default());
     index.record_sent(ENGINE, &request_with_prefixes(&[prefix(1)]), 10_000);
     index.set_capacities(HashMap::new(), 12_000);
--- a/crates/sapphiretrack-routing/tests/watch_state.rs
+++ b/crates/sapphiretrack-routing/tests/watch_state.rs
@@ -1,10 +1,10 @@
-//! What routers learn about a listing from each other never claims more than the store's answers
-//! show.
+//! The freshness of a listing that routers derive from each other's adverts never exceeds what the
+//! store's answers show.
 
 use proptest::prelude::*;
 use sapphiretrack_routing::{ListingAdvert, WatchAnswer, WatchState};
 
-/// A simulated store that knows the time of each version.
+/// A simulated store that records the time of each version.
 #[derive(Default)]
 struct Store {
     /// Version, time, and whether a record was removed.
@@ -35,9 +35,9 @@
 
 proptest! {
     /// Routers ask the store or receive adverts of others. Their clocks differ, and adverts arrive
-    /// late and in any order. A router that claims an age must know all changes up to that moment.
+    /// late and in any order. A router that reports an age must have all changes up to that moment.
     #[test]
-    fn no_router_claims_to_be_newer_than_it_is(
+    fn the_age_of_a_listing_covers_all_missing_changes(
         steps in prop::collection::vec((0_u8..6, 0_usize..3, 1_u64..400, 0_usize..8), 1..200),
     ) {
         let offsets = [5_000_u64, 900_000, 70_000];
@@ -67,13 +67,13 @@
                 };
                 // The clock offset errs by at most the network time of a call, and only towards a
                 // larger age.
-                let claimed_ms = store_ms - age_ms;
+                let proven_ms = store_ms - age_ms;
                 let known = state.version().unwrap_or(0);
                 let missed = store.changes.iter().find(|(version, ..)| *version > known);
                 if let Some((version, changed_ms, _)) = missed {
                     prop_assert!(
-                        *changed_ms >= claimed_ms,
-                        "claims {claimed_ms} ms, misses version {version} of {changed_ms} ms"
+                        *changed_ms >= proven_ms,
+                        "proven up to {proven_ms} ms, misses version {version} of {changed_ms} ms"
                     );
                 }
             }
@@ -279,7 +279,7 @@
     );
 }
 
-/// A router that knows version 10, proven by a call from 1,000 to 1,004 ms of local time, and an
+/// A router that has version 10, proven by a call from 1,000 to 1,004 ms of local time, and an
 /// advert of a newer version.
 fn behind_router() -> (WatchState, ListingAdvert) {
     let mut state = WatchState::default();
@@ -326,7 +326,7 @@
 /// Guards against a whole fleet that refuses requests while it reads what changed in an outage of
 /// the store.
 #[test]
-fn a_router_that_learns_of_a_change_after_an_outage_has_time_to_read_it() {
+fn a_router_has_time_to_read_a_change_that_is_advertised_after_an_outage() {
     let (mut state, newer) = behind_router();
     state.record_advert(&newer, 9_000);
     assert!(state.age_ms(9_000).expect("proven") > 2_000);
@@ -340,12 +340,12 @@
     );
 }
 
-/// Guards against a router that forgets that it is behind when the store has lost the history of
-/// changes.
+/// Guards against a router that no longer counts as behind after it cleared its version because the
+/// store has lost the history of changes.
 #[test]
-fn a_router_that_forgot_its_version_still_knows_that_it_is_behind() {
+fn a_router_that_cleared_its_version_still_counts_as_behind() {
     let (mut state, newer) = behind_router();
-    state.forget_version();
+    state.clear_version();
     state.record_advert(&newer, 1_600);
     assert!(!state.is_usable(9_000, 2_000));
 }
