--- a/crates/sapphiretrack-router/src/admission.rs
+++ b/crates/sapphiretrack-router/src/admission.rs
@@ -19,7 +19,7 @@
 use crate::job::Job;
 use crate::ports::Interface;
 use crate::refusal::Refusal;
-use crate::shared::{InFlight, InForce, Shared};
+use crate::shared::{ConfigurationInForce, InFlight, Shared};
 
 /// Requests that arrive within this time after process start wait until the router is ready.
 const STARTUP_WAIT_MS: u64 = 400;
@@ -129,34 +129,34 @@
 /// Finds the route and the tenant of a request in the configuration in force.
 ///
 /// A router that cannot prove that its configuration is the newest neither rejects a request with a
-/// final status nor accepts a key, because either decision could be wrong. A router that knows of a
-/// newer configuration refuses every request to which that one may apply. Both refusals state that
-/// the request has not run and may be sent to another router.
+/// final status nor accepts a key, because either decision could be wrong. A router to which a
+/// newer configuration was advertised refuses every request to which that one may apply. Both
+/// refusals state that the request has not run and may be sent to another router.
 pub(crate) fn admit<'a>(
-    in_force: &'a InForce,
+    in_force: &'a ConfigurationInForce,
     facts: &RequestFacts,
     path: &str,
 ) -> Result<Admitted<'a>, Refusal> {
-    let InForce {
+    let ConfigurationInForce {
         configuration,
-        has_fresh_keys: fresh,
+        has_fresh_keys,
         is_usable,
     } = in_force;
     if !is_usable {
         return Err(Refusal::retryable("configuration-replaced"));
     }
     let Some(route) = configuration.route(&facts.host, path) else {
-        return Err(match fresh {
+        return Err(match has_fresh_keys {
             true => Refusal::permanent(StatusCode::NOT_FOUND, "no-route"),
             false => Refusal::retryable("configuration-stale"),
         });
     };
-    if configuration.needs_key(route) && !fresh {
+    if configuration.needs_key(route) && !has_fresh_keys {
         return Err(Refusal::retryable("keys-stale"));
     }
     match configuration.tenant(route, facts.key.as_deref()) {
         Ok(tenant) => Ok(Admitted { route, tenant }),
-        Err(RouteError::UnknownKey | RouteError::NoRoute) => Err(match fresh {
+        Err(RouteError::UnknownKey | RouteError::NoRoute) => Err(match has_fresh_keys {
             true => Refusal::permanent(StatusCode::UNAUTHORIZED, "unknown-key"),
             false => Refusal::retryable("configuration-stale"),
         }),
--- a/crates/sapphiretrack-router/src/answer.rs
+++ b/crates/sapphiretrack-router/src/answer.rs
@@ -1,4 +1,5 @@
-//! Responses to callers: bodies, responses that this router generates, and hop-by-hop headers.
+//! Answers to callers: their bodies, the answers that this router generates, and hop-by-hop
+//! headers.
 
 use std::pin::Pin;
 
@@ -10,43 +11,43 @@
 use http_body_util::{BodyExt, Full, StreamBody};
 use snafu::Snafu;
 
-/// A response body that cannot be completed. The connection is aborted, so that the caller sees
-/// that the body is incomplete.
+/// An answer body that cannot be completed. The connection is aborted, so that the caller can
+/// detect that the body is incomplete.
 #[derive(Debug, Snafu)]
-#[snafu(display("response body truncated: {reason}"))]
+#[snafu(display("answer body truncated: {reason}"))]
 pub(crate) struct TruncatedBody {
     pub(crate) reason: &'static str,
 }
 
-/// The body of a response to a caller.
-pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, TruncatedBody>;
+/// The body of an answer to a caller.
+pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
 /// The frames of a streamed body.
 pub(crate) type FrameStream =
     Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, TruncatedBody>> + Send>>;
 
 /// A body whose bytes are all available.
-pub(crate) fn whole(bytes: Bytes) -> ResponseBody {
+pub(crate) fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// A body that is forwarded as its frames arrive.
-pub(crate) fn streamed(frames: FrameStream) -> ResponseBody {
+pub(crate) fn streamed_body(frames: FrameStream) -> AnswerBody {
     StreamBody::new(frames).boxed_unsync()
 }
 
-/// A response that this router generates. Callers must not pass a status which promises that the
+/// An answer that this router generates. Callers must not pass a status which promises that the
 /// request has not run unless that is certain.
-pub(crate) fn generated_response(
+pub(crate) fn generated_answer(
     status: StatusCode,
     reason: &'static str,
     retry_after_ms: Option<u64>,
-) -> Response<ResponseBody> {
-    let mut response = Response::new(whole(Bytes::from_static(reason.as_bytes())));
-    *response.status_mut() = status;
-    let headers = response.headers_mut();
+) -> Response<AnswerBody> {
+    let mut answer = Response::new(full_body(Bytes::from_static(reason.as_bytes())));
+    *answer.status_mut() = status;
+    let headers = answer.headers_mut();
     let text = HeaderValue::from_static("text/plain");
     headers.insert(header::CONTENT_TYPE, text);
     if let Some(retry_after_ms) = retry_after_ms {
@@ -56,7 +57,7 @@
             headers.insert(header::RETRY_AFTER, value);
         }
     }
-    response
+    answer
 }
 
 /// Removes hop-by-hop headers, including those that the `connection` header names.
--- a/crates/sapphiretrack-router/src/attempt.rs
+++ b/crates/sapphiretrack-router/src/attempt.rs
@@ -1,4 +1,4 @@
-//! A single attempt: sends a request to one backend server and reads the head of the response.
+//! A single attempt: sends a request to one backend server and reads the head of the answer.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::crashes::note_connection_loss;
 use crate::events::{Event, note};
 use crate::job::Job;
-use crate::placing::{Placement, PlacementError};
+use crate::placement::{Placement, PlacementError};
 use crate::ports::{AnswerFacts, AttemptHeaders};
 use crate::server_pool::{Connection, PoolError};
 
@@ -25,21 +25,21 @@
 /// to clients outside the fleet and to routers that this one has not seen yet.
 const CONNECTION_FRACTION: f64 = 0.8;
 
-/// A server's response whose body has not been read yet.
-pub(crate) struct ServerResponse {
+/// A server's answer whose body has not been read yet.
+pub(crate) struct ServerAnswer {
     /// The status and the headers.
     pub(crate) head: Parts,
-    /// What the response head states about the attempt and the connection.
+    /// What the answer head states about the attempt and the connection.
     pub(crate) facts: AnswerFacts,
     /// The unread body.
     pub(crate) body: Incoming,
     /// The connection, reusable once the whole body has been read.
     pub(crate) connection: Connection,
-    /// The placement on the server that sent the response.
-    pub(crate) placed: Placement,
+    /// The placement on the server that sent the answer.
+    pub(crate) placement: Placement,
 }
 
-/// Why an attempt ended without a usable response.
+/// Why an attempt ended without a usable answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AttemptFailure {
     /// No server could be chosen.
@@ -52,16 +52,16 @@
     NotRun(&'static str),
     /// The request is blocked because it has crashed too many servers.
     Blocked,
-    /// The server failed or its response is unusable; the request may have run.
+    /// The server failed or its answer is unusable; the request may have run.
     MayHaveRun(&'static str),
-    /// The connection was lost before the response was complete; the request may have run.
+    /// The connection was lost before the answer was complete; the request may have run.
     ConnectionLost(&'static str),
-    /// The response was not complete in time; the request may have run.
+    /// The answer was not complete in time; the request may have run.
     TimedOut(&'static str),
 }
 
 impl AttemptFailure {
-    /// The reason as it appears in logs, metrics and responses.
+    /// The reason as it appears in logs, metrics and answers.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NotPlaced(error) => error.as_str(),
@@ -84,15 +84,15 @@
     }
 
     /// Counts the failure against the server and logs it.
-    pub(crate) fn record(self, job: &Job, placed: &Placement) {
+    pub(crate) fn record(self, job: &Job, placement: &Placement) {
         // Running out of this router's share of connections says nothing about the server's health.
         if self != Self::NotSent("connections-used") {
-            placed.record_outcome(true);
+            placement.record_outcome(true);
         }
-        let (id, server) = (&job.facts.id, &placed.server.id);
+        let (id, server) = (&job.facts.id, &placement.server.id);
         let (reason, may_have_run) = (self.as_str(), self.may_have_run());
         if let Self::ConnectionLost(_) = self {
-            note_connection_loss(job, &placed.server);
+            note_connection_loss(job, &placement.server);
             note!(
                 Event::ATTEMPT_FAILED,
                 id = id,
@@ -113,31 +113,31 @@
     }
 }
 
-/// Sends a request to the server it was placed on and waits for the head of the response. Each time
-/// `attempt_timeout_ms` elapses without one, `should_abandon` decides whether to abandon this server.
-/// Records and logs a failure.
+/// Sends a request to the server it was placed on and waits for the head of the answer. Each time
+/// `attempt_timeout_ms` elapses without one, `should_abandon` decides whether to abandon this
+/// server. Records and logs a failure.
 pub(crate) async fn send_attempt<ShouldAbandon>(
     job: &Job,
     service: &Service,
-    placed: Placement,
+    placement: Placement,
     resume_after: Option<u64>,
     attempt_timeout_ms: u64,
     should_abandon: ShouldAbandon,
-) -> Result<ServerResponse, AttemptFailure>
+) -> Result<ServerAnswer, AttemptFailure>
 where
     ShouldAbandon: FnMut(&Placement) -> bool,
 {
     let result = try_send(
         job,
         service,
-        placed,
+        placement,
         resume_after,
         attempt_timeout_ms,
         should_abandon,
     )
     .await;
-    if let Err((placed, failure)) = &result {
-        failure.record(job, placed);
+    if let Err((placement, failure)) = &result {
+        failure.record(job, placement);
     }
     result.map_err(|(_, failure)| failure)
 }
@@ -145,11 +145,11 @@
 async fn try_send<ShouldAbandon>(
     job: &Job,
     service: &Service,
-    placed: Placement,
+    placement: Placement,
     resume_after: Option<u64>,
     attempt_timeout_ms: u64,
     mut should_abandon: ShouldAbandon,
-) -> Result<ServerResponse, (Placement, AttemptFailure)>
+) -> Result<ServerAnswer, (Placement, AttemptFailure)>
 where
     ShouldAbandon: FnMut(&Placement) -> bool,
 {
@@ -166,62 +166,62 @@
     loop {
         let connection = shared
             .pool
-            .get(&placed.server, limit, connect_ms, force_new)
+            .get(&placement.server, limit, connect_ms, force_new)
             .await;
         let mut connection = match connection {
             Ok(connection) => connection,
             Err(PoolError::LimitReached { .. }) => {
-                return Err((placed, AttemptFailure::NotSent("connections-used")));
+                return Err((placement, AttemptFailure::NotSent("connections-used")));
             }
             Err(PoolError::Unreachable { source }) => {
-                placed.record_unreachable();
+                placement.record_unreachable();
                 note!(
                     Event::SERVER_UNREACHABLE,
                     id = job.facts.id,
-                    server = placed.server.id,
+                    server = placement.server.id,
                     error = source,
                 );
-                return Err((placed, AttemptFailure::NotSent("unreachable")));
+                return Err((placement, AttemptFailure::NotSent("unreachable")));
             }
         };
         let left_ms = job.left_ms();
         if left_ms == 0 {
-            return Err((placed, AttemptFailure::NoTimeLeft));
+            return Err((placement, AttemptFailure::NoTimeLeft));
         }
-        let request = attempt_request(job, &placed, resume_after, left_ms);
+        let request = attempt_request(job, &placement, resume_after, left_ms);
         if job.is_log_sampled {
             note!(
                 Event::SENT,
                 id = job.facts.id,
                 route = job.route.name,
                 service = service.name,
-                server = placed.server.id,
-                load = placed.load,
-                servers = placed.servers,
-                cached_tokens = placed.cached_tokens,
+                server = placement.server.id,
+                load = placement.load,
+                servers = placement.servers,
+                cached_tokens = placement.cached_tokens,
                 prompt_tokens = job.facts.prompt_tokens,
-                fetches = placed.fetch_from.is_some(),
+                fetches = placement.fetch_from.is_some(),
                 reused = connection.is_reused,
                 left_ms = left_ms,
                 configuration = configuration_version,
                 configuration_age_ms = shared.configuration_age_ms().unwrap_or(u64::MAX),
             );
         }
-        let response = {
+        let answer = {
             let mut sending = pin!(connection.send(request));
             loop {
                 let left_ms = job.left_ms();
                 let limit = Duration::from_millis(attempt_timeout_ms.clamp(1, left_ms.max(1)));
-                if let Ok(response) = timeout(limit, &mut sending).await {
-                    break response;
+                if let Ok(answer) = timeout(limit, &mut sending).await {
+                    break answer;
                 }
-                if job.left_ms() == 0 || should_abandon(&placed) {
-                    return Err((placed, AttemptFailure::TimedOut("no-answer")));
+                if job.left_ms() == 0 || should_abandon(&placement) {
+                    return Err((placement, AttemptFailure::TimedOut("no-answer")));
                 }
             }
         };
-        let response = match response {
-            Ok(response) => response,
+        let answer = match answer {
+            Ok(answer) => answer,
             Err(mut error) => {
                 let was_not_sent = error.take_message().is_some();
                 if was_not_sent && connection.is_reused && !force_new {
@@ -233,21 +233,21 @@
                     true => AttemptFailure::NotSent("connection-closed"),
                     false => AttemptFailure::ConnectionLost("connection-broke"),
                 };
-                return Err((placed, failure));
+                return Err((placement, failure));
             }
         };
-        return check_response(job, placed, connection, response).await;
+        return check_answer(job, placement, connection, answer).await;
     }
 }
 
-/// Accepts a response only if it belongs to this attempt and comes from the intended server.
-async fn check_response(
+/// Accepts an answer only if it belongs to this attempt and comes from the intended server.
+async fn check_answer(
     job: &Job,
-    placed: Placement,
+    placement: Placement,
     connection: Connection,
-    response: http::Response<Incoming>,
-) -> Result<ServerResponse, (Placement, AttemptFailure)> {
-    let (head, body) = response.into_parts();
+    answer: http::Response<Incoming>,
+) -> Result<ServerAnswer, (Placement, AttemptFailure)> {
+    let (head, body) = answer.into_parts();
     let facts = (job.interface.read_answer)(&head);
     if facts.wrong_server || facts.not_run {
         let reason = match facts.wrong_server {
@@ -255,17 +255,17 @@
             false => "server-refused",
         };
         if facts.wrong_server {
-            placed.record_unreachable();
+            placement.record_unreachable();
         }
         let read_body = Limited::new(body, MAX_REFUSAL_BODY_BYTES).collect();
         let limit = Duration::from_millis(REFUSAL_BODY_TIMEOUT_MS);
-        let is_own_response = facts.request_id.as_deref() == Some(&*job.facts.id);
+        let is_own_answer = facts.request_id.as_deref() == Some(&*job.facts.id);
         if let Ok(Ok(_)) = timeout(limit, read_body).await
-            && is_own_response
+            && is_own_answer
         {
-            connection.keep(facts.keep_alive_s);
+            connection.return_to_pool(facts.keep_alive_s);
         }
-        return Err((placed, AttemptFailure::NotRun(reason)));
+        return Err((placement, AttemptFailure::NotRun(reason)));
     }
     let problem = if facts.request_id.as_deref() != Some(&*job.facts.id) {
         Some("answer-of-another-request")
@@ -279,31 +279,31 @@
         None
     };
     if let Some(problem) = problem {
-        return Err((placed, AttemptFailure::MayHaveRun(problem)));
+        return Err((placement, AttemptFailure::MayHaveRun(problem)));
     }
-    Ok(ServerResponse {
+    Ok(ServerAnswer {
         head,
         facts,
         body,
         connection,
-        placed,
+        placement,
     })
 }
 
 /// Builds the request that is sent to the server.
 fn attempt_request(
     job: &Job,
-    placed: &Placement,
+    placement: &Placement,
     resume_after: Option<u64>,
     left_ms: u64,
 ) -> Request<Full<bytes::Bytes>> {
     let mut headers = job.headers.clone();
     let attempt = AttemptHeaders {
-        server_id: &placed.server.id,
+        server_id: &placement.server.id,
         tenant: job.tenant.as_deref(),
         left_ms,
         priority: job.priority,
-        fetch_from: placed.fetch_from,
+        fetch_from: placement.fetch_from,
         resume_after,
     };
     (job.interface.write_attempt)(&mut headers, &attempt);
--- a/crates/sapphiretrack-router/src/connect.rs
+++ b/crates/sapphiretrack-router/src/connect.rs
@@ -50,8 +50,8 @@
     },
 }
 
-/// The task that drives a connection's I/O. Dropping it closes the connection at once, so that
-/// the peer sees that the answer is no longer awaited.
+/// The task that drives a connection's I/O. Dropping it closes the connection at once, so that the
+/// peer can detect that the answer is no longer awaited.
 #[derive(Debug)]
 pub struct ConnectionDriver(JoinHandle<()>);
 
--- a/crates/sapphiretrack-router/src/crashes.rs
+++ b/crates/sapphiretrack-router/src/crashes.rs
@@ -50,7 +50,7 @@
 pub(crate) struct SuspectedServers(Vec<(Incarnation, Vec<Fingerprint>)>);
 
 impl SuspectedServers {
-    /// Adds a request to a server; true if the server was not suspected before.
+    /// Adds a request to a suspected server. Returns true if the server was not suspected before.
     fn add(&mut self, server: Incarnation, fingerprint: Fingerprint) -> bool {
         if let Some((_, requests)) = self.0.iter_mut().find(|(known, _)| *known == server) {
             requests.push(fingerprint);
@@ -78,7 +78,7 @@
 impl StoredBlocks {
     /// Records whether a request is blocked now. If that changed and `writes_store` is set,
     /// queues the request for an update of its record in the store and returns true.
-    fn note(&mut self, fingerprint: Fingerprint, is_blocked: bool, writes_store: bool) -> bool {
+    fn record(&mut self, fingerprint: Fingerprint, is_blocked: bool, writes_store: bool) -> bool {
         let has_changed = match is_blocked {
             true => self.blocked.insert(fingerprint),
             false => self.blocked.remove(&fingerprint),
@@ -114,8 +114,8 @@
 /// Probes a server whose connections were lost, and records a crash if it refuses new connections.
 async fn probe_server(shared: Arc<Shared>, server: Arc<ServerEntry>) {
     let mut has_crashed = false;
-    for pause_ms in PROBE_DELAYS_MS {
-        sleep(Duration::from_millis(pause_ms)).await;
+    for delay_ms in PROBE_DELAYS_MS {
+        sleep(Duration::from_millis(delay_ms)).await;
         let connection = TcpStream::connect(server.address);
         let limit = Duration::from_millis(PROBE_TIMEOUT_MS);
         // Only a refused connection proves a crash: a timeout may be a network failure.
@@ -123,7 +123,7 @@
             |error: &std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
         if timeout(limit, connection)
             .await
-            .is_ok_and(|made| made.is_err_and(|error| is_refused(&error)))
+            .is_ok_and(|result| result.is_err_and(|error| is_refused(&error)))
         {
             has_crashed = true;
             break;
@@ -150,7 +150,7 @@
     shared.announce_crashes(&new_records);
 }
 
-/// Records that a request got a complete response, which voids the evidence against it.
+/// Records that a request got a complete answer, which voids the evidence against it.
 pub(crate) fn record_answered(job: &Job) {
     if let Some(fingerprint) = suspected_fingerprint(job) {
         void_evidence(&job.shared, fingerprint);
@@ -177,7 +177,7 @@
     lines.collect()
 }
 
-/// Unblocks a request at all routers; false if no blocked request has this hash.
+/// Unblocks a request at all routers. Returns false if no blocked request has this hash.
 pub(crate) fn lift_block(shared: &Shared, hash: u128) -> bool {
     let max_crashes = shared.settings().attempts.max_crashes;
     let blocked = shared.crash_evidence().requests_with_crashes(max_crashes);
@@ -208,11 +208,11 @@
 /// The fingerprint of a request for which there may be evidence. The cheap outline is checked first
 /// to avoid computing fingerprints of all other requests.
 fn suspected_fingerprint(job: &Job) -> Option<Fingerprint> {
-    let may_know = {
+    let may_have_records = {
         let evidence = job.shared.crash_evidence();
         !evidence.is_empty() && evidence.may_have_records(job.outline())
     };
-    may_know.then(|| job.fingerprint())
+    may_have_records.then(|| job.fingerprint())
 }
 
 /// Logs new records, and queues blocked or unblocked requests for the store.
@@ -231,7 +231,7 @@
         let is_blocked = crashes >= max_crashes;
         if shared
             .stored_blocks()
-            .note(record.fingerprint, is_blocked, writes_store)
+            .record(record.fingerprint, is_blocked, writes_store)
         {
             shared.stored_blocks_changed.notify_one();
         }
@@ -266,7 +266,7 @@
 
 /// New records to be sent to other routers.
 struct CrashUpdate {
-    /// All records of the affected requests that every router must know; sent to all routers.
+    /// All records of the affected requests that are shared with all routers.
     for_all: Vec<CrashRecord>,
     /// Records of first crashes, sent only to the few routers responsible for each request.
     first_crashes: Vec<CrashRecord>,
@@ -290,8 +290,8 @@
 
     async fn send_repeatedly(self, shared: Arc<Shared>, socket: Arc<UdpSocket>) {
         let first_turn = rand::random::<u16>() as usize;
-        for (turn, pause_ms) in SEND_DELAYS_MS.into_iter().enumerate() {
-            sleep(Duration::from_millis(pause_ms)).await;
+        for (turn, delay_ms) in SEND_DELAYS_MS.into_iter().enumerate() {
+            sleep(Duration::from_millis(delay_ms)).await;
             for records in self.for_all.chunks(CrashEvidence::MAX_SENT) {
                 let message = encode(&crashes_message(&shared, records.to_vec(), true));
                 send_to_all(&shared, &socket, first_turn + turn, &message).await;
@@ -345,7 +345,7 @@
         if !expired.is_empty() && shared.is_watcher() {
             for fingerprint in expired {
                 let is_blocked = !blocked_records(&shared, fingerprint).is_empty();
-                if shared.stored_blocks().note(fingerprint, is_blocked, true) {
+                if shared.stored_blocks().record(fingerprint, is_blocked, true) {
                     shared.stored_blocks_changed.notify_one();
                 }
             }
@@ -396,11 +396,11 @@
     shared: &Shared,
     from: SocketAddr,
     records: &[CrashRecord],
-    their_digest: u64,
+    peer_digest: u64,
     is_final: bool,
 ) -> Option<RouterMessage> {
     merge_crashes(shared, records, &from.to_string());
-    if is_final || shared.crash_evidence().digest() == their_digest {
+    if is_final || shared.crash_evidence().digest() == peer_digest {
         return None;
     }
     let own = shared.crash_evidence().shared_records(Clock.now_ms());
@@ -420,7 +420,7 @@
             };
             let records = blocked_records(&shared, fingerprint);
             let sent_ms = Clock.now_ms();
-            let answer = (store.keep_crashes)(fingerprint, records).await;
+            let answer = (store.save_crashes)(fingerprint, records).await;
             let outcome = answer.as_ref().map(|()| 0);
             let reason = CallReason::Crashes;
             shared.note_store_call(Listing::Routers, reason, sent_ms, outcome);
--- a/crates/sapphiretrack-router/src/discovery.rs
+++ b/crates/sapphiretrack-router/src/discovery.rs
@@ -9,9 +9,9 @@
 use tokio::time::sleep;
 
 use crate::clock::Clock;
-use crate::control::log_unusable;
 use crate::crashes::merge_crashes;
 use crate::events::{Event, note};
+use crate::listing_updates::log_unusable;
 use crate::ports::{Listing, Record, StoreAnswer, StoreError, StorePort};
 use crate::shared::Shared;
 use crate::watch::CallReason;
@@ -35,10 +35,10 @@
     let discovery = Discovery { shared, store };
     let is_first_start = discovery.shared.settings().is_first_start;
     // Registers also after a failed listing: where only the store's answers are lost, the row is
-    // written, and the other routers find this one by it.
+    // written nevertheless, and the other routers discover this one by it.
     if is_first_start || !discovery.try_list(0).await.unwrap_or(false) {
-        // Listing after registration: of two routers that start, the one that registers later sees
-        // the other, and its heartbeat introduces them to each other.
+        // Lists the routers after registration: of two routers that start, the one that registers
+        // later finds the other in the listing, and its heartbeat introduces them to each other.
         discovery.register().await;
         discovery.list().await;
     }
@@ -116,7 +116,8 @@
             self.shared.servers_watch(),
         ];
         for watch in watches {
-            // A router that reads the other listings from peers learns the store's clock here.
+            // A router that reads the other listings from peers maps the store's clock only by this
+            // answer.
             let mut state = watch.state();
             state.record_clock(sent_ms, received_ms, answer.store_now_ms);
         }
--- a/crates/sapphiretrack-router/src/dispatch.rs
+++ b/crates/sapphiretrack-router/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Handles a caller's request: runs attempts, decides on retries and builds the final response.
+//! Handles a caller's request: runs attempts, decides on retries and builds the final answer.
 
 use std::sync::Arc;
 
@@ -9,13 +9,13 @@
 use sapphiretrack_routing::{Configuration, Incarnation, RequestKind};
 
 use crate::admission::{admit, receive_request};
-use crate::answer::{ResponseBody, generated_response};
-use crate::attempt::{AttemptFailure, ServerResponse, send_attempt};
+use crate::answer::{AnswerBody, generated_answer};
+use crate::attempt::{AttemptFailure, ServerAnswer, send_attempt};
 use crate::clock::Clock;
 use crate::crashes::crash_count;
 use crate::events::{Event, note};
 use crate::job::Job;
-use crate::placing::{Placement, PlacementError, PlacementRequest, place};
+use crate::placement::{Placement, PlacementError, PlacementRequest, place};
 use crate::ports::Interface;
 use crate::refusal::{Refusal, refuse};
 use crate::relay::{self, ReadAnswer};
@@ -30,7 +30,7 @@
     pub(crate) possible_runs: u32,
     /// Attempts in which the request was sent.
     pub(crate) offers: u32,
-    /// Attempts whose connection was lost before the response was complete.
+    /// Attempts whose connection was lost before the answer was complete.
     pub(crate) connection_losses: usize,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// Handles one request of a caller and returns the response.
+/// Handles one request of a caller and returns the answer.
 pub(crate) async fn handle_request(
     shared: Arc<Shared>,
     interface: Interface,
     request: Request<Incoming>,
-) -> Response<ResponseBody> {
+) -> Response<AnswerBody> {
     let in_flight = shared.begin_request();
     let (head, body) = request.into_parts();
     let leaving = shared.leaving_for_ms().is_some();
@@ -62,17 +62,17 @@
         Ok(job) => job,
         Err(refusal) => return refuse(&shared, &id, refusal, leaving),
     };
-    let mut response = run_attempts(Arc::new(job)).await;
+    let mut answer = run_attempts(Arc::new(job)).await;
     if shared.leaving_for_ms().is_some() {
         let close = header::HeaderValue::from_static("close");
-        response.headers_mut().insert(header::CONNECTION, close);
+        answer.headers_mut().insert(header::CONNECTION, close);
     }
-    response
+    answer
 }
 
 impl Job {
-    /// How long an attempt may go without a response before the router checks whether to try
-    /// another server. An attempt that cannot be followed by another one may use all the time left.
+    /// How long an attempt may go without an answer before the router checks whether to try another
+    /// server. An attempt that cannot be followed by another one may use all the time left.
     fn attempt_timeout_ms(&self, attempts: &Attempts) -> u64 {
         let may_run_again = self.route.kind.may_run_again();
         let is_last_attempt = attempts.possible_runs + 1 >= self.route.max_attempts;
@@ -102,13 +102,13 @@
         &self,
         attempts: &mut Attempts,
         resume_after: Option<u64>,
-    ) -> Result<ServerResponse, AttemptFailure> {
+    ) -> Result<ServerAnswer, AttemptFailure> {
         if attempts.offers == 0 {
             let now_ms = Clock.now_ms();
             let mut traffic = self.shared.traffic();
             traffic.retries.record_request(&self.service, now_ms);
-            let drain = traffic.drain.entry(self.service.clone());
-            drain.or_insert_with(|| DrainRate::new(now_ms));
+            let drain_rate = traffic.drain_rates.entry(self.service.clone());
+            drain_rate.or_insert_with(|| DrainRate::new(now_ms));
         }
         if self.is_blocked(attempts) {
             return Err(AttemptFailure::Blocked);
@@ -131,13 +131,13 @@
                 facts: &self.facts,
                 tried: &attempts.tried,
             };
-            let placed = place(&self.shared, request);
-            let placed = placed.map_err(|error| self.note_placement_failure(error))?;
+            let placement = place(&self.shared, request);
+            let placement = placement.map_err(|error| self.note_placement_failure(error))?;
             if attempts.offers > 0 && !retry_reserved && !self.try_reserve_retry() {
                 return Err(AttemptFailure::NotSent("retry-budget"));
             }
-            attempts.tried.push(placed.server.incarnation);
-            let cache_state = match placed.cached_tokens {
+            attempts.tried.push(placement.server.incarnation);
+            let cache_state = match placement.cached_tokens {
                 0 => "cold",
                 _ => "warm",
             };
@@ -145,27 +145,28 @@
             retry_reserved = false;
             let attempt_timeout_ms = self.attempt_timeout_ms(attempts);
             // A request that is queued at a responsive server keeps its place, since another server
-            // may have no room for it. It abandons only an unresponsive server, and only if the
+            // may have no capacity for it. It abandons only an unresponsive server, and only if the
             // service is not full and the retry budget allows another attempt.
-            let should_abandon = |placed: &Placement| {
-                retry_reserved =
-                    placed.is_unresponsive() && !self.is_service_full() && self.try_reserve_retry();
+            let should_abandon = |placement: &Placement| {
+                retry_reserved = placement.is_unresponsive()
+                    && !self.is_service_full()
+                    && self.try_reserve_retry();
                 retry_reserved
             };
             let sent = send_attempt(
                 self,
                 service,
-                placed,
+                placement,
                 resume_after,
                 attempt_timeout_ms,
                 should_abandon,
             )
             .await;
             let failure = match sent {
-                Ok(response) => {
+                Ok(answer) => {
                     attempts.offers += 1;
                     attempts.possible_runs += 1;
-                    return Ok(response);
+                    return Ok(answer);
                 }
                 Err(failure) => failure,
             };
@@ -225,13 +226,14 @@
         AttemptFailure::NotPlaced(error)
     }
 
-    /// Whether the service recently had no room for a request of this router.
+    /// Whether the service recently had no capacity for a request of this router.
     fn is_service_full(&self) -> bool {
         let traffic = self.shared.traffic();
         traffic.retries.is_full(&self.service, Clock.now_ms())
     }
 
-    /// Charges one retry to this router's share of the retry budget; false if it is used up.
+    /// Charges one retry to this router's share of the retry budget. Returns false if it is used
+    /// up.
     fn try_reserve_retry(&self) -> bool {
         let routers = self.shared.peers().known_count() + 1;
         let mut traffic = self.shared.traffic();
@@ -246,56 +248,52 @@
     }
 }
 
-/// Runs a request's attempts and builds the response from their result.
-async fn run_attempts(job: Arc<Job>) -> Response<ResponseBody> {
+/// Runs a request's attempts and builds the answer from their result.
+async fn run_attempts(job: Arc<Job>) -> Response<AnswerBody> {
     let mut attempts = Attempts::default();
     let mut server_error = None;
     loop {
-        let response = match job.attempt(&mut attempts, job.facts.resume_after).await {
-            Ok(response) => response,
+        let answer = match job.attempt(&mut attempts, job.facts.resume_after).await {
+            Ok(answer) => answer,
             Err(failure) => {
-                return final_response(&job, &attempts, failure, server_error);
+                return final_answer(&job, &attempts, failure, server_error);
             }
         };
         let streams = matches!(job.route.kind, RequestKind::Stream { .. });
-        if streams && response.head.status.is_success() {
-            return relay::stream_events(job, attempts, response);
+        if streams && answer.head.status.is_success() {
+            return relay::stream_events(job, attempts, answer);
         }
-        let failure = match relay::whole_answer(&job, response, &attempts).await {
-            Ok(ReadAnswer::Final(response)) => return response,
-            Ok(ReadAnswer::ServerError(response)) => {
-                server_error = Some(response);
+        let failure = match relay::buffered_answer(&job, answer, &attempts).await {
+            Ok(ReadAnswer::Final(answer)) => return answer,
+            Ok(ReadAnswer::ServerError(answer)) => {
+                server_error = Some(answer);
                 AttemptFailure::MayHaveRun("server-error")
             }
             Err(failure) => failure,
         };
         attempts.note_connection_loss(failure);
         if !job.may_retry(&attempts, failure) {
-            return final_response(&job, &attempts, failure, server_error);
+            return final_answer(&job, &attempts, failure, server_error);
         }
     }
 }
 
-/// Passes on a server's own 5xx response if there is one, and fails the request otherwise.
-fn final_response(
+/// Passes on a server's own 5xx answer if there is one, and fails the request otherwise.
+fn final_answer(
     job: &Job,
     attempts: &Attempts,
     failure: AttemptFailure,
-    server_error: Option<Response<ResponseBody>>,
-) -> Response<ResponseBody> {
-    let Some(response) = server_error else {
-        return failure_response(job, attempts, failure);
+    server_error: Option<Response<AnswerBody>>,
+) -> Response<AnswerBody> {
+    let Some(answer) = server_error else {
+        return failure_answer(job, attempts, failure);
     };
-    relay::record_answered(job, response.status(), attempts.offers);
-    response
+    relay::record_answered(job, answer.status(), attempts.offers);
+    answer
 }
 
-/// Builds the response to a request that no server answered.
-fn failure_response(
-    job: &Job,
-    attempts: &Attempts,
-    failure: AttemptFailure,
-) -> Response<ResponseBody> {
+/// Builds the answer to a request that no server answered.
+fn failure_answer(job: &Job, attempts: &Attempts, failure: AttemptFailure) -> Response<AnswerBody> {
     job.mark_ended();
     let reason = failure.as_str();
     let leaving = job.shared.leaving_for_ms().is_some();
@@ -313,7 +311,7 @@
             offers = attempts.offers,
             age_ms = job.age_ms(),
         );
-        return generated_response(status, reason, None);
+        return generated_answer(status, reason, None);
     }
     if failure == AttemptFailure::Blocked {
         // No `retry-after`: the request stays refused for as long as the evidence is valid.
@@ -326,7 +324,7 @@
         );
         return refuse(&job.shared, &job.facts.id, refusal, leaving);
     }
-    // Nothing ran, so the caller may retry as soon as there is room.
+    // Nothing ran, so the caller may retry as soon as there is capacity.
     let full = matches!(
         failure,
         AttemptFailure::NotPlaced(PlacementError::AllFull) | AttemptFailure::NotRun(_)
@@ -334,9 +332,10 @@
     let refusal = match full {
         true => {
             let mut traffic = job.shared.traffic();
-            let drain = traffic.drain.get_mut(&job.service);
+            let drain_rate = traffic.drain_rates.get_mut(&job.service);
             let draw = rand::rng().random();
-            let wait_ms = drain.map(|drain| drain.retry_after_ms(draw, Clock.now_ms()));
+            let wait_ms =
+                drain_rate.map(|drain_rate| drain_rate.retry_after_ms(draw, Clock.now_ms()));
             Refusal {
                 retry_after_ms: wait_ms,
                 ..Refusal::retryable(reason)
--- a/crates/sapphiretrack-router/src/lookups.rs
+++ b/crates/sapphiretrack-router/src/endpoints.rs
@@ -17,9 +17,9 @@
 use sapphiretrack_routing::{Distance, Incarnation, RouterState, sample_addresses};
 use tokio::net::TcpListener;
 
+use crate::caller_listener::accept_next;
 use crate::clock::Clock;
 use crate::crashes::{blocked_requests, lift_block};
-use crate::front::accept_next;
 use crate::logging::dropped_log_lines;
 use crate::metrics::GaugeValues;
 use crate::ports::{Interface, Lookup};
@@ -75,7 +75,7 @@
 }
 
 /// Answers the requests that only operators may make: to list blocked requests, and to lift a
-/// block. None if the path is another.
+/// block. None for any other path.
 fn answer_operator(shared: &Shared, request: &Request<Incoming>) -> Option<Response<Full<Bytes>>> {
     let rest = request.uri().path().strip_prefix(BLOCKED_REQUESTS_PATH)?;
     if rest.is_empty() && request.method() == Method::GET {
--- a/crates/sapphiretrack-router/src/lib.rs
+++ b/crates/sapphiretrack-router/src/lib.rs
@@ -3,26 +3,26 @@
 mod admission;
 mod answer;
 mod attempt;
+mod caller_listener;
 mod clock;
 mod connect;
-mod control;
 mod crashes;
 mod discovery;
 mod dispatch;
+mod endpoints;
 mod events;
-mod front;
 mod http_call;
 mod job;
-mod loads;
+mod listing_updates;
+mod load_exchange;
 mod logging;
-mod lookups;
 mod metrics;
 mod peer_listings;
 mod peer_messages;
-mod placing;
+mod placement;
 mod policy;
 mod ports;
-mod prefixes;
+mod prefix_recovery;
 mod refusal;
 mod relay;
 mod router;
@@ -38,8 +38,8 @@
 pub use logging::{dropped_log_lines, start_logging};
 pub use policy::{POLICY, PolicyError, PolicyKey, policy_help, set_policy};
 pub use ports::{
-    AnswerFacts, AttemptHeaders, BadRequest, Interface, KeepCrashes, ListPrefixes, Listing, Lookup,
-    Ports, ReadSettings, Record, StoreAnswer, StoreError, StorePort, WatchCall,
+    AnswerFacts, AttemptHeaders, BadRequest, Interface, ListPrefixes, Listing, Lookup, Ports,
+    ReadSettings, Record, SaveCrashes, StoreAnswer, StoreError, StorePort, WatchCall,
 };
 pub use router::{RunError, run};
 pub use settings::{AttemptSettings, RouterSettings, Times};
--- a/crates/sapphiretrack-router/src/control.rs
+++ b/crates/sapphiretrack-router/src/listing_updates.rs
@@ -25,7 +25,7 @@
 /// Keeps the newest configuration in force until the process ends.
 pub(crate) async fn watch_configuration(shared: Arc<Shared>, store: Arc<StorePort>) {
     let mut watch = Watch::new(shared.clone(), store, Listing::Configuration);
-    let mut ready = None;
+    let mut last_state = None;
     loop {
         let Some(update) = watch.next(NO_LIMIT_MS).await else {
             continue;
@@ -34,9 +34,9 @@
         let unusable = update.records.iter();
         let unusable = unusable.filter(|record| !matches!(record, Record::Configuration(_)));
         unusable.for_each(log_unusable);
-        let now_ready = shared.state();
-        if ready != Some(now_ready) {
-            ready = Some(now_ready);
+        let state = shared.state();
+        if last_state != Some(state) {
+            last_state = Some(state);
             shared.state_changed.notify_one();
         }
         if changed {
@@ -93,7 +93,8 @@
             shared.servers_watch().state().record_own_recovery();
             shared.listings_read.notify_one();
         }
-        // A router that made no call during an outage learns of the recovery from routers that did.
+        // If this router made no call during an outage, only the adverts of other routers show the
+        // recovery.
         let recovered_ms = shared.servers_watch().state().recovered_ms();
         if let Some(recovered_ms) = recovered_ms {
             list.record_peer_recovery(recovered_ms);
@@ -113,12 +114,12 @@
     }
 }
 
-/// Applies an update. Returns whether it holds records that the store was asked for, so that the
-/// caller pauses before its next call. Updates that other routers pass on cost no call and come
-/// often: with a pause after each they would pile up for seconds.
+/// Applies an update. Returns whether it contains changes from a call to the store, after which the
+/// caller pauses before its next call. Updates that other routers relay cost no call and are
+/// frequent: with a pause after each they would wait in the queue for seconds.
 fn apply_update(list: &mut ServerList, update: Update, now_ms: u64) -> bool {
     let changed = update.is_from_store && !update.records.is_empty();
-    if update.is_whole {
+    if update.is_whole_listing {
         apply_whole_listing(list, update.records, now_ms);
         return changed;
     }
@@ -178,7 +179,10 @@
     });
     let capacities = capacities.collect();
     let now_ms = Clock.now_ms();
-    shared.traffic().warm.set_capacities(capacities, now_ms);
+    shared
+        .traffic()
+        .prefix_index
+        .set_capacities(capacities, now_ms);
 }
 
 /// Publishes the list to the traffic thread, and drops the pooled connections of servers that are
@@ -191,7 +195,7 @@
         .map(|server: &Arc<ServerEntry>| server.incarnation)
         .collect();
     shared.servers.store(Arc::new(services));
-    shared.servers_known.store(true, Ordering::Relaxed);
+    shared.has_server_list.store(true, Ordering::Relaxed);
     update_memory_capacities(shared);
     let mut traffic = shared.traffic();
     traffic
--- a/crates/sapphiretrack-router/src/loads.rs
+++ b/crates/sapphiretrack-router/src/load_exchange.rs
@@ -141,7 +141,7 @@
         let message = encode(&RouterMessage::LoadDigest(collected.digest.clone()));
         for reporter in collected.reporters {
             match reporter == own_address {
-                true => shared.use_digest(own_address, &collected.digest),
+                true => shared.apply_digest(own_address, &collected.digest),
                 false => drop(socket.send_to(&message, reporter).await),
             }
         }
--- a/crates/sapphiretrack-router/src/peer_listings.rs
+++ b/crates/sapphiretrack-router/src/peer_listings.rs
@@ -1,4 +1,4 @@
-//! What a watch receives from other routers: whole listings, and changes that they pass on.
+//! What a watch receives from other routers: whole listings, and changes that they relay.
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
 use crate::snapshots::{FetchError, Snapshot, fetch};
 use crate::watch::{Update, Watch};
 
-/// The most routers that are kept because busy ones named them.
-const MAX_NAMED_ROUTERS: usize = 64;
+/// The most routers that are kept because busy ones suggested them.
+const MAX_SUGGESTED_ROUTERS: usize = 64;
 
 impl Watch {
     /// Returns the routers that have the version that is missing here, or are expected to.
@@ -26,11 +26,11 @@
             .shared
             .peers()
             .holders(zone, version, advert_of, now_ms);
-        let named_routers = self.named_routers.iter().map(|address| Holder {
+        let suggested_routers = self.suggested_routers.iter().map(|address| Holder {
             address: *address,
             is_same_zone: true,
         });
-        holders.extend(named_routers);
+        holders.extend(suggested_routers);
         holders
     }
 
@@ -46,24 +46,24 @@
         let snapshot = match fetched {
             Ok(fetched) => fetched.snapshot,
             Err(FetchError::Busy { served }) => {
-                self.add_named(served);
+                self.add_suggested(served);
                 self.source.record_peer_busy(draw, now_ms);
                 return None;
             }
             Err(_) => {
-                self.named_routers
+                self.suggested_routers
                     .retain(|address| *address != holder.address);
                 self.source.record_peer_failure(draw, now_ms);
                 return None;
             }
         };
-        let Some((records, is_whole)) = self.apply(snapshot, now_ms) else {
+        let Some((records, is_whole_listing)) = self.apply(snapshot, now_ms) else {
             self.source.record_peer_failure(draw, now_ms);
             return None;
         };
         self.source.reset();
-        self.named_routers.clear();
-        Some(Update::from_peer(records, is_whole))
+        self.suggested_routers.clear();
+        Some(Update::from_peer(records, is_whole_listing))
     }
 
     /// Applies another router's listing. Returns its records and whether they are the whole
@@ -94,13 +94,13 @@
         Some((snapshot.into_records(None)?, false))
     }
 
-    /// Keeps routers that a busy one served lately, as further ones to ask.
-    fn add_named(&mut self, served: Vec<SocketAddr>) {
+    /// Adds the routers that a busy one suggests to those that may be asked for the listing.
+    fn add_suggested(&mut self, served: Vec<SocketAddr>) {
         let own_address = self.shared.settings().peer_address;
         for address in served {
-            let is_new = address != own_address && !self.named_routers.contains(&address);
-            if is_new && self.named_routers.len() < MAX_NAMED_ROUTERS {
-                self.named_routers.push(address);
+            let is_new = address != own_address && !self.suggested_routers.contains(&address);
+            if is_new && self.suggested_routers.len() < MAX_SUGGESTED_ROUTERS {
+                self.suggested_routers.push(address);
             }
         }
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes all changes that other routers passed on and that are missing here.
+    /// Takes all changes that other routers relayed and that are missing here.
     pub(crate) fn take_relayed(&mut self) -> Vec<ServerChange> {
         let now_ms = Clock.now_ms();
         let mut missing = Vec::new();
--- a/crates/sapphiretrack-router/src/peer_messages.rs
+++ b/crates/sapphiretrack-router/src/peer_messages.rs
@@ -83,7 +83,7 @@
         let rounds = pace.rounds(routers);
         let interval_ms = rounds as u64 * pace.send_interval_ms(routers);
         shared.peers().set_heartbeat_interval(interval_ms);
-        sent.push_back(shared.traffic().warm.take_pending());
+        sent.push_back(shared.traffic().prefix_index.take_pending());
         while sent.len() > rounds {
             sent.pop_front();
         }
@@ -118,16 +118,16 @@
                 turn = turn.wrapping_add(1);
             }
         }
-        let pause = pace.send_interval_ms(routers);
+        let send_interval_ms = pace.send_interval_ms(routers);
         is_urgent = tokio::select! {
-            () = sleep(Duration::from_millis(pause)) => false,
+            () = sleep(Duration::from_millis(send_interval_ms)) => false,
             () = shared.state_changed.notified() => true,
         };
     }
 }
 
 /// Sends the results of the watches of the store to all routers at once, until the process ends:
-/// the changes of the backend servers, and the versions up to which this router knows the listings.
+/// the changes of the backend servers, and how up to date this router's listings are.
 pub(crate) async fn advertise_listings(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut turn = rand::random::<u16>() as usize;
     loop {
@@ -208,7 +208,7 @@
 async fn send_prefixes(shared: &Shared, socket: &UdpSocket, reply_to: SocketAddr) {
     let prefixes = shared
         .traffic()
-        .warm
+        .prefix_index
         .newest(MAX_SENT_PREFIXES, Clock.now_ms());
     for chunk in prefixes.chunks(PrefixIndex::PREFIXES_IN_DATAGRAM) {
         let message = encode(&RouterMessage::Prefixes(chunk.to_vec()));
@@ -220,8 +220,8 @@
 /// Receives and handles the messages of other routers until the process ends.
 pub(crate) async fn receive_messages(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_RECEIVED_BYTES];
-    let mut loads_used_ms = 0;
-    let mut serving = PrefixReplyLimiter::default();
+    let mut loads_applied_ms = 0;
+    let mut reply_limiter = PrefixReplyLimiter::default();
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             // The error of an earlier datagram to a closed port; the next call receives again.
@@ -258,12 +258,12 @@
                 continue;
             }
             RouterMessage::LoadDigest(digest) => {
-                shared.use_digest(from, &digest);
+                shared.apply_digest(from, &digest);
                 continue;
             }
             RouterMessage::Heartbeat(heartbeat) => *heartbeat,
             RouterMessage::AskPrefixes { reply_to } => {
-                if serving.try_serve(Clock.now_ms()) {
+                if reply_limiter.try_serve(Clock.now_ms()) {
                     send_prefixes(&shared, &socket, reply_to).await;
                 }
                 continue;
@@ -307,7 +307,7 @@
             RouterMessage::Prefixes(prefixes) => {
                 shared
                     .traffic()
-                    .warm
+                    .prefix_index
                     .record_holdings(&prefixes, Clock.now_ms());
                 shared.prefix_recovery().record_received();
                 continue;
@@ -322,7 +322,7 @@
         }
         shared
             .traffic()
-            .warm
+            .prefix_index
             .record_advertised(&heartbeat.sent, now_ms);
         record_adverts(&shared, &heartbeat.configuration, &heartbeat.servers);
         let name = heartbeat.name.clone();
@@ -335,19 +335,18 @@
                 state = format_args!("{state:?}")
             );
         }
-        if now_ms >= loads_used_ms + shared.settings().times.heartbeat_ms / 4 {
-            loads_used_ms = now_ms;
+        if now_ms >= loads_applied_ms + shared.settings().times.heartbeat_ms / 4 {
+            loads_applied_ms = now_ms;
             for name in peers.remove_expired(now_ms) {
                 note!(Event::PEER_LOST, router = name);
             }
             drop(peers);
-            shared.use_heartbeat_loads(now_ms);
+            shared.apply_heartbeat_loads(now_ms);
         }
     }
 }
 
-/// Records the versions up to which another router knows the store's listings, and wakes a watch
-/// that lacks a change.
+/// Records how up to date another router's listings are, and wakes a watch that lacks a change.
 fn record_adverts(shared: &Shared, configuration: &ListingAdvert, servers: &ListingAdvert) {
     let now_ms = Clock.now_ms();
     let watches = [
--- a/crates/sapphiretrack-router/src/placing.rs
+++ b/crates/sapphiretrack-router/src/placement.rs
@@ -43,7 +43,7 @@
 }
 
 impl PlacementError {
-    /// The reason as it appears in logs, metrics and responses.
+    /// The reason as it appears in logs, metrics and answers.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NoneListed => "no-server",
@@ -54,7 +54,7 @@
 }
 
 impl Placement {
-    /// Records that response bytes arrived, which means that the server has read the prompt.
+    /// Records that bytes of an answer arrived, which means that the server has read the prompt.
     pub(crate) fn record_progress(&mut self) {
         let mut traffic = self.shared.traffic();
         let health = traffic.health.entry(self.server.incarnation).or_default();
@@ -76,9 +76,9 @@
             let took_ms = now_ms.saturating_sub(self.sent_ms);
             let service_time = traffic.service_times.entry(self.server.service.clone());
             service_time.or_default().record(took_ms);
-            let drain = traffic.drain.get_mut(&self.server.service);
-            if let Some(drain) = drain {
-                drain.note_end(now_ms);
+            let drain_rate = traffic.drain_rates.get_mut(&self.server.service);
+            if let Some(drain_rate) = drain_rate {
+                drain_rate.note_end(now_ms);
             }
         }
     }
@@ -198,7 +198,7 @@
     health.record_sent(now_ms);
     health.tokens += added_load.tokens;
     health.prefill_tokens += added_load.prefill_tokens;
-    traffic.warm.record_sent(server, facts, now_ms);
+    traffic.prefix_index.record_sent(server, facts, now_ms);
     added_load
 }
 
@@ -243,7 +243,10 @@
         let Some(prefix) = self.request.facts.shared_prefixes().last() else {
             return;
         };
-        let share = self.traffic.warm.share_of_sends(prefix.id, self.now_ms);
+        let share = self
+            .traffic
+            .prefix_index
+            .share_of_sends(prefix.id, self.now_ms);
         let in_flight = candidates.iter().map(|candidate| candidate.in_flight).sum();
         let homes = home_count(&self.settings.costs, share, in_flight, candidates.len());
         let servers = candidates.iter().map(|candidate| candidate.server);
@@ -266,7 +269,7 @@
         let failure_share =
             health.map_or(0.0, |one| one.failure_share(&settings.health, self.now_ms));
         let shared_prefixes = self.request.facts.shared_prefixes();
-        let warm = &self.traffic.warm;
+        let prefix_index = &self.traffic.prefix_index;
         Candidate {
             server: server.incarnation,
             distance: settings.distance(&settings.zone, &server.zone),
@@ -278,7 +281,11 @@
             slots: server.slots,
             capacity: self.capacity(server),
             prefill_tokens: peer_prefill + health.map_or(0, |health| health.prefill_tokens),
-            cached_tokens: warm.cached_tokens(server.incarnation, shared_prefixes, self.now_ms),
+            cached_tokens: prefix_index.cached_tokens(
+                server.incarnation,
+                shared_prefixes,
+                self.now_ms,
+            ),
             failure_share,
             suspect,
             tried: self.request.tried.contains(&server.incarnation),
--- a/crates/sapphiretrack-router/src/ports.rs
+++ b/crates/sapphiretrack-router/src/ports.rs
@@ -1,4 +1,4 @@
-//! What a router needs from the program that embeds it, as plain structs of functions.
+//! The functions that the program that embeds a router provides to it, in plain structs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     pub write_attempt: fn(&mut HeaderMap, &AttemptHeaders<'_>),
     /// Reads the facts of a backend server's answer.
     pub read_answer: fn(&ResponseParts) -> AnswerFacts,
-    /// Parses a caller's lookup of router addresses; none if the path is another.
+    /// Parses a caller's lookup of router addresses; none for any other path.
     pub read_lookup: fn(&Uri) -> Option<Lookup>,
     /// Formats the answer to a lookup, from the addresses and how many seconds they may be cached:
     /// content type and body.
@@ -193,13 +193,13 @@
     /// one.
     pub watch: WatchCall,
     /// Saves a request's crash records beside the routers; an empty list removes them.
-    pub keep_crashes: KeepCrashes,
+    pub save_crashes: SaveCrashes,
     /// Registers this router (`true`), or removes its registration (`false`).
     pub register: Box<dyn Fn(bool) -> BoxFuture<'static, Result<(), StoreError>> + Send + Sync>,
 }
 
 /// A call that saves the crash records of a request.
-pub type KeepCrashes = Box<
+pub type SaveCrashes = Box<
     dyn Fn(Fingerprint, Vec<CrashRecord>) -> BoxFuture<'static, Result<(), StoreError>>
         + Send
         + Sync,
--- a/crates/sapphiretrack-router/src/prefixes.rs
+++ b/crates/sapphiretrack-router/src/prefix_recovery.rs
@@ -15,7 +15,8 @@
 use crate::ports::ListPrefixes;
 use crate::shared::Shared;
 
-/// Queries other routers, or the engines if no router knows, until the cached prefixes are known.
+/// Queries other routers, or the engines if no router has them, until the cached prefixes are
+/// known.
 pub(crate) async fn recover_prefixes(
     shared: Arc<Shared>,
     socket: Arc<UdpSocket>,
@@ -44,7 +45,7 @@
             PrefixStep::AskServers => {
                 query_engines(&shared, &list_prefixes).await;
                 shared.prefix_recovery().record_received();
-                // Other routers wait until one advertises that it knows.
+                // Other routers wait until one advertises that it has the prefixes.
                 shared.state_changed.notify_one();
             }
         }
@@ -78,7 +79,7 @@
                 prefix_count += holdings.len();
                 shared
                     .traffic()
-                    .warm
+                    .prefix_index
                     .record_holdings(&holdings, Clock.now_ms());
             }
             Err(error) => {
--- a/crates/sapphiretrack-router/src/refusal.rs
+++ b/crates/sapphiretrack-router/src/refusal.rs
@@ -3,7 +3,7 @@
 use http::{Response, StatusCode, header};
 use rand::RngExt;
 
-use crate::answer::{ResponseBody, generated_response};
+use crate::answer::{AnswerBody, generated_answer};
 use crate::events::{Event, note};
 use crate::shared::Shared;
 
@@ -44,13 +44,13 @@
     }
 }
 
-/// Logs and counts a refusal and builds its response.
+/// Logs and counts a refusal and builds its answer.
 pub(crate) fn refuse(
     shared: &Shared,
     id: &str,
     refusal: Refusal,
     leaving: bool,
-) -> Response<ResponseBody> {
+) -> Response<AnswerBody> {
     shared.metrics.count_refusal(refusal.reason);
     note!(
         Event::REFUSED,
@@ -60,10 +60,10 @@
         retry_after_ms = refusal.retry_after_ms.unwrap_or(0),
         configuration_age_ms = shared.configuration_age_ms().unwrap_or(u64::MAX),
     );
-    let mut response = generated_response(refusal.status, refusal.reason, refusal.retry_after_ms);
+    let mut answer = generated_answer(refusal.status, refusal.reason, refusal.retry_after_ms);
     if leaving || refusal.status == StatusCode::SERVICE_UNAVAILABLE && refusal.reason == "leaving" {
         let close = header::HeaderValue::from_static("close");
-        response.headers_mut().insert(header::CONNECTION, close);
+        answer.headers_mut().insert(header::CONNECTION, close);
     }
-    response
+    answer
 }
--- a/crates/sapphiretrack-router/src/relay.rs
+++ b/crates/sapphiretrack-router/src/relay.rs
@@ -12,8 +12,10 @@
 use sapphiretrack_routing::{EventSplitter, StreamFault};
 use tokio::time::timeout;
 
-use crate::answer::{ResponseBody, TruncatedBody, streamed, strip_connection_headers, whole};
-use crate::attempt::{AttemptFailure, ServerResponse};
+use crate::answer::{
+    AnswerBody, TruncatedBody, full_body, streamed_body, strip_connection_headers,
+};
+use crate::attempt::{AttemptFailure, ServerAnswer};
 use crate::clock::Clock;
 use crate::crashes;
 use crate::dispatch::Attempts;
@@ -27,26 +29,26 @@
 /// An answer that was read to its end, or up to the buffer limit if it is long.
 pub(crate) enum ReadAnswer {
     /// The answer for the caller.
-    Final(Response<ResponseBody>),
+    Final(Response<AnswerBody>),
     /// A server error; another server may be tried before this goes to the caller.
-    ServerError(Response<ResponseBody>),
+    ServerError(Response<AnswerBody>),
 }
 
 /// Reads an answer to its end and passes it on as a whole, or streams it if it exceeds the buffer
 /// limit.
-pub(crate) async fn whole_answer(
+pub(crate) async fn buffered_answer(
     job: &Arc<Job>,
-    answer: ServerResponse,
+    answer: ServerAnswer,
     attempts: &Attempts,
 ) -> Result<ReadAnswer, AttemptFailure> {
-    let ServerResponse {
+    let ServerAnswer {
         head,
         facts,
         mut body,
         connection,
-        mut placed,
+        mut placement,
     } = answer;
-    placed.record_progress();
+    placement.record_progress();
     let mut bytes = BytesMut::new();
     loop {
         let frame = timeout(Duration::from_millis(job.left_ms()), body.frame()).await;
@@ -58,27 +60,27 @@
                 if bytes.len() <= MAX_BUFFERED_BYTES {
                     continue;
                 }
-                let rest = ServerResponse {
+                let rest = ServerAnswer {
                     head,
                     facts,
                     body,
                     connection,
-                    placed,
+                    placement,
                 };
-                let answer = long_answer(job.clone(), rest, bytes.freeze());
+                let answer = streamed_answer(job.clone(), rest, bytes.freeze());
                 return Ok(ReadAnswer::Final(answer));
             }
             Ok(None) => break,
             Ok(Some(Err(_))) => AttemptFailure::ConnectionLost("answer-broke-off"),
             Err(_) => AttemptFailure::TimedOut("answer-not-whole"),
         };
-        failure.record(job, &placed);
+        failure.record(job, &placement);
         return Err(failure);
     }
-    connection.keep(facts.keep_alive_s);
+    connection.return_to_pool(facts.keep_alive_s);
     let failed = head.status.is_server_error();
-    placed.record_outcome(failed);
-    let answer = Response::from_parts(caller_head(job, head), whole(bytes.freeze()));
+    placement.record_outcome(failed);
+    let answer = Response::from_parts(caller_head(job, head), full_body(bytes.freeze()));
     if failed {
         return Ok(ReadAnswer::ServerError(answer));
     }
@@ -87,7 +89,7 @@
 }
 
 /// Streams an answer that is too long to be buffered, from its first bytes on.
-fn long_answer(job: Arc<Job>, answer: ServerResponse, first: Bytes) -> Response<ResponseBody> {
+fn streamed_answer(job: Arc<Job>, answer: ServerAnswer, first: Bytes) -> Response<AnswerBody> {
     let head = caller_head(&job, answer.head.clone());
     let state = (job, Some(answer), Some(first));
     let pieces = unfold(state, |(job, mut answer, first)| async move {
@@ -99,15 +101,15 @@
         match frame {
             Ok(Some(Ok(frame))) => Some((Ok(frame), (job, answer, None))),
             Ok(None) => {
-                let ServerResponse {
+                let ServerAnswer {
                     head,
                     facts,
                     connection,
-                    placed,
+                    placement,
                     ..
                 } = answer.take()?;
-                connection.keep(facts.keep_alive_s);
-                placed.record_outcome(head.status.is_server_error());
+                connection.return_to_pool(facts.keep_alive_s);
+                placement.record_outcome(head.status.is_server_error());
                 record_answered(&job, head.status, 1);
                 None
             }
@@ -116,13 +118,13 @@
                     Err(_) => AttemptFailure::TimedOut("answer-not-whole"),
                     _ => AttemptFailure::ConnectionLost("answer-broke-off"),
                 };
-                failure.record(&job, &answer?.placed);
-                let cut = cut_off(&job, failure.as_str());
-                Some((Err(cut), (job, None, None)))
+                failure.record(&job, &answer?.placement);
+                let truncated = fail_truncated(&job, failure.as_str());
+                Some((Err(truncated), (job, None, None)))
             }
         }
     });
-    Response::from_parts(head, streamed(Box::pin(pieces)))
+    Response::from_parts(head, streamed_body(Box::pin(pieces)))
 }
 
 /// Relays a stream of events; if it breaks off, another server resumes it where the request allows
@@ -130,8 +132,8 @@
 pub(crate) fn stream_events(
     job: Arc<Job>,
     attempts: Attempts,
-    answer: ServerResponse,
-) -> Response<ResponseBody> {
+    answer: ServerAnswer,
+) -> Response<AnswerBody> {
     let head = caller_head(&job, answer.head.clone());
     let relay = EventRelay {
         splitter: EventSplitter::after(job.facts.resume_after),
@@ -141,20 +143,20 @@
         first_ms: None,
         longest_pause_ms: 0,
         last_ms: 0,
-        ended: false,
+        has_ended: false,
     };
     let pieces = unfold(relay, |mut relay| async move {
         let piece = relay.next_piece().await?;
         Some((piece, relay))
     });
-    Response::from_parts(head, streamed(Box::pin(pieces)))
+    Response::from_parts(head, streamed_body(Box::pin(pieces)))
 }
 
 /// A stream on its way to the caller.
 struct EventRelay {
     job: Arc<Job>,
     attempts: Attempts,
-    answer: Option<ServerResponse>,
+    answer: Option<ServerAnswer>,
     splitter: EventSplitter,
     /// The age of the request at its first event.
     first_ms: Option<u64>,
@@ -162,17 +164,17 @@
     longest_pause_ms: u64,
     /// When bytes last arrived.
     last_ms: u64,
-    ended: bool,
+    has_ended: bool,
 }
 
 impl EventRelay {
     /// Returns all whole events that are available next; none after the last.
     async fn next_piece(&mut self) -> Option<Result<Frame<Bytes>, TruncatedBody>> {
-        if self.ended {
+        if self.has_ended {
             return None;
         }
         loop {
-            let fault = match self.take_events() {
+            let failure = match self.take_events() {
                 Ok(Some(bytes)) => {
                     self.record_first_event();
                     return Some(Ok(Frame::data(bytes)));
@@ -187,9 +189,9 @@
                 }
                 Err(StreamFault::TooLong) => AttemptFailure::MayHaveRun("event-too-long"),
             };
-            if !self.resume(fault).await {
-                self.ended = true;
-                return Some(Err(cut_off(&self.job, fault.as_str())));
+            if !self.resume(failure).await {
+                self.has_ended = true;
+                return Some(Err(fail_truncated(&self.job, failure.as_str())));
             }
         }
     }
@@ -215,7 +217,7 @@
         let frame = timeout(left, answer.body.frame()).await;
         match frame {
             Ok(Some(Ok(frame))) => {
-                answer.placed.record_progress();
+                answer.placement.record_progress();
                 self.record_pause();
                 if let Some(data) = frame.data_ref() {
                     self.splitter.push(data);
@@ -236,12 +238,12 @@
 
     /// Records the end of a whole stream, and returns the connection to the pool.
     fn finish(&mut self) {
-        self.ended = true;
+        self.has_ended = true;
         let Some(answer) = self.answer.take() else {
             return;
         };
-        answer.connection.keep(answer.facts.keep_alive_s);
-        answer.placed.record_outcome(false);
+        answer.connection.return_to_pool(answer.facts.keep_alive_s);
+        answer.placement.record_outcome(false);
         let times = StreamTimes {
             first_ms: self.first_ms.unwrap_or(0),
             longest_pause_ms: self.longest_pause_ms,
@@ -254,7 +256,7 @@
     async fn resume(&mut self, failure: AttemptFailure) -> bool {
         // Dropping the answer closes its connection: the first server stops before the next starts.
         if let Some(answer) = self.answer.take() {
-            failure.record(&self.job, &answer.placed);
+            failure.record(&self.job, &answer.placement);
         }
         self.attempts.note_connection_loss(failure);
         if !self.job.may_retry(&self.attempts, failure) {
@@ -308,7 +310,7 @@
 }
 
 /// Ends a request whose answer breaks off, and records the failure.
-fn cut_off(job: &Job, reason: &'static str) -> TruncatedBody {
+fn fail_truncated(job: &Job, reason: &'static str) -> TruncatedBody {
     job.mark_ended();
     job.shared.metrics.count_failure(reason);
     note!(
@@ -323,7 +325,7 @@
 
 /// Ends a request that got a whole answer, and records it in the metrics. Returns whether it is
 /// logged.
-fn end_whole(job: &Job) -> bool {
+fn record_completion(job: &Job) -> bool {
     job.mark_ended();
     crashes::record_answered(job);
     job.shared.metrics.observe_whole(&job.labels, job.age_ms());
@@ -339,7 +341,7 @@
 
 /// Records that the caller got a whole stream.
 fn record_streamed(job: &Job, status: StatusCode, offers: u32, times: StreamTimes) {
-    if !end_whole(job) {
+    if !record_completion(job) {
         return;
     }
     note!(
@@ -355,7 +357,7 @@
 
 /// Records that the caller gets a server's whole answer.
 pub(crate) fn record_answered(job: &Job, status: StatusCode, offers: u32) {
-    if !end_whole(job) {
+    if !record_completion(job) {
         return;
     }
     note!(
--- a/crates/sapphiretrack-router/src/router.rs
+++ b/crates/sapphiretrack-router/src/router.rs
@@ -11,17 +11,17 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{sleep, timeout};
 
+use crate::caller_listener::serve_callers;
 use crate::clock::Clock;
-use crate::control::{watch_configuration, watch_servers};
 use crate::crashes::{compare_crashes, send_crash_records, store_blocked_requests};
 use crate::discovery::find_routers;
+use crate::endpoints::{Audience, serve_endpoints};
 use crate::events::{Event, note};
-use crate::front::serve_callers;
-use crate::loads::{collect_loads, report_loads};
-use crate::lookups::{Audience, serve_endpoints};
+use crate::listing_updates::{watch_configuration, watch_servers};
+use crate::load_exchange::{collect_loads, report_loads};
 use crate::peer_messages::{advertise_listings, receive_messages, send_heartbeats};
 use crate::ports::{Interface, Ports, ReadSettings};
-use crate::prefixes::recover_prefixes;
+use crate::prefix_recovery::recover_prefixes;
 use crate::settings::RouterSettings;
 use crate::shared::Shared;
 use crate::snapshots::serve_snapshots;
@@ -138,8 +138,8 @@
     stop.recv().await;
     note!(Event::STOPPING, in_flight = shared.in_flight());
     shared.begin_stop();
-    // A heartbeat tells the other routers at once; the row only lists this router as a recipient of
-    // heartbeats.
+    // A heartbeat announces the stop to the other routers at once; the row only lists this router
+    // as a recipient of heartbeats.
     drop(timeout(DEREGISTRATION_LIMIT, (store.register)(false)).await);
     std::future::pending().await
 }
@@ -156,7 +156,7 @@
         match read() {
             Ok(None) => last_error = None,
             Ok(Some(settings)) => {
-                shared.use_settings(settings);
+                shared.apply_settings(settings);
                 note!(Event::SETTINGS_READ, router = shared.settings().name);
             }
             Err(error) if last_error.as_ref() != Some(&error) => {
--- a/crates/sapphiretrack-router/src/server_pool.rs
+++ b/crates/sapphiretrack-router/src/server_pool.rs
@@ -1,5 +1,5 @@
 //! A pool of connections to backend servers. Each connection carries one request at a time and is
-//! reused only after a complete response.
+//! reused only after a complete answer.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 struct PoolState {
     idle: Vec<IdleConnection>,
-    open: u32,
+    open_count: u32,
 }
 
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 }
 
 /// A connection in use by one request. It is closed on drop unless it was returned with
-/// [`Connection::keep`].
+/// [`Connection::return_to_pool`].
 #[derive(Debug)]
 pub(crate) struct Connection {
     /// Whether the connection has carried a request before.
@@ -65,7 +65,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.lock().open -= 1;
+        self.0.lock().open_count -= 1;
     }
 }
 
@@ -130,8 +130,8 @@
             state
                 .idle
                 .retain(|idle| listed && now_ms < idle.until_ms && idle.sender.is_ready());
-            state.open -= (before - state.idle.len()) as u32;
-            listed || state.open > 0
+            state.open_count -= (before - state.idle.len()) as u32;
+            listed || state.open_count > 0
         });
     }
 
@@ -153,7 +153,7 @@
             if now_ms < connection.until_ms && connection.sender.is_ready() {
                 return Some(connection);
             }
-            state.open -= 1;
+            state.open_count -= 1;
         }
         None
     }
@@ -161,15 +161,15 @@
     /// Takes a slot for a new connection; false if `limit` is reached.
     fn reserve(&self, limit: u32) -> bool {
         let mut state = self.lock();
-        if state.open >= limit {
+        if state.open_count >= limit {
             // Idle connections that are closed free their slots.
             let before = state.idle.len();
             state.idle.retain(|connection| connection.sender.is_ready());
-            state.open -= (before - state.idle.len()) as u32;
+            state.open_count -= (before - state.idle.len()) as u32;
         }
-        let has_free_slot = state.open < limit;
+        let has_free_slot = state.open_count < limit;
         if has_free_slot {
-            state.open += 1;
+            state.open_count += 1;
         }
         has_free_slot
     }
@@ -182,12 +182,15 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, TrySendError<Request<Full<Bytes>>>> {
-        let (sender, _) = self.open.as_mut().expect("open until it is kept");
+        let (sender, _) = self
+            .open
+            .as_mut()
+            .expect("the connection is open until it is returned");
         sender.try_send_request(request).await
     }
 
-    /// Returns the connection to the pool. Only valid after a complete response was read.
-    pub(crate) fn keep(mut self, keep_alive_s: Option<u64>) {
+    /// Returns the connection to the pool. Only valid after a complete answer was read.
+    pub(crate) fn return_to_pool(mut self, keep_alive_s: Option<u64>) {
         let idle_ms = keep_alive_s.map_or(DEFAULT_IDLE_MS, |limit_s| {
             (limit_s * 1_000).saturating_sub(IDLE_MARGIN_MS)
         });
@@ -204,6 +207,6 @@
             until_ms: Clock.now_ms() + idle_ms,
         });
         // The idle connection takes over the slot that this one frees on drop.
-        state.open += 1;
+        state.open_count += 1;
     }
 }
--- a/crates/sapphiretrack-router/src/settings.rs
+++ b/crates/sapphiretrack-router/src/settings.rs
@@ -102,10 +102,10 @@
     /// the store themselves: the duration of a watch, the network delay and a heartbeat interval,
     /// with a margin for one lost heartbeat.
     pub relay_ms: u64,
-    /// How much longer than the requested wait the store may take to begin its response, and to
-    /// send each further part of it.
+    /// How much longer than the requested wait the store may take to begin its answer, and to send
+    /// each further part of it.
     pub store_slack_ms: u64,
-    /// The time limit for a response of the store that keeps arriving. The size grows with the
+    /// The time limit for an answer of the store that keeps arriving. The size grows with the
     /// number of listed records, and links may be slow.
     pub store_answer_ms: u64,
     /// The time limit for a registration. The store serializes writes, so that the registrations of
--- a/crates/sapphiretrack-router/src/shared.rs
+++ b/crates/sapphiretrack-router/src/shared.rs
@@ -18,7 +18,7 @@
 use crate::clock::Clock;
 use crate::crashes::{StoredBlocks, SuspectedServers};
 use crate::events::{Event, note};
-use crate::loads::LoadExchange;
+use crate::load_exchange::LoadExchange;
 use crate::metrics::Metrics;
 use crate::ports::{Listing, StoreError};
 use crate::server_pool::ServerPool;
@@ -43,10 +43,10 @@
     /// The servers that have an entry in the store, for routers that read the listing from this
     /// one.
     pub(crate) present_servers: ArcSwap<Vec<Arc<ServerEntry>>>,
-    /// Whether discovery has finished: the routers that the store lists are known.
+    /// Whether discovery has finished: the routers that the store lists were read.
     pub(crate) is_discovered: AtomicBool,
     /// Whether the list of servers was read at least once.
-    pub(crate) servers_known: AtomicBool,
+    pub(crate) has_server_list: AtomicBool,
     /// Counters and histograms.
     pub(crate) metrics: Metrics,
     /// Connections to backend servers.
@@ -92,13 +92,13 @@
     /// The load and the health of servers.
     pub(crate) health: HashMap<Incarnation, ServerHealth>,
     /// The servers that are expected to cache prompt prefixes.
-    pub(crate) warm: PrefixIndex,
+    pub(crate) prefix_index: PrefixIndex,
     /// This router's share of the retry budget.
     pub(crate) retries: RetryShare,
     /// The estimated time per request of each service.
     pub(crate) service_times: HashMap<String, ServiceTime>,
     /// The rate at which each service completes requests.
-    pub(crate) drain: HashMap<String, DrainRate>,
+    pub(crate) drain_rates: HashMap<String, DrainRate>,
 }
 
 /// The capacity of the queue of relayed changes: those of a few seconds in the busiest release.
@@ -137,7 +137,7 @@
 }
 
 /// The configuration in force, and the decisions for which it is recent enough.
-pub(crate) struct InForce {
+pub(crate) struct ConfigurationInForce {
     pub(crate) configuration: Arc<Configuration>,
     /// Whether the configuration is recent enough to accept or reject keys.
     pub(crate) has_fresh_keys: bool,
@@ -159,8 +159,8 @@
     pub(crate) fn new(settings: RouterSettings) -> Self {
         let retries = RetryShare::new(settings.retry.clone());
         let (relayed, relayed_queue) = mpsc::channel(MAX_QUEUED_CHANGES);
-        let mut warm = PrefixIndex::default();
-        warm.set_settings(settings.warm);
+        let mut prefix_index = PrefixIndex::default();
+        prefix_index.set_settings(settings.warm);
         let recovery = PrefixRecovery::new(settings.is_first_start, Clock.now_ms());
         Self {
             settings: ArcSwap::from_pointee(settings),
@@ -169,7 +169,7 @@
             peer_loads: ArcSwap::default(),
             present_servers: ArcSwap::default(),
             is_discovered: AtomicBool::new(false),
-            servers_known: AtomicBool::new(false),
+            has_server_list: AtomicBool::new(false),
             metrics: Metrics::new(),
             pool: ServerPool::default(),
             state_changed: Notify::new(),
@@ -186,10 +186,10 @@
             load_exchange: Mutex::default(),
             traffic: Mutex::new(Traffic {
                 health: HashMap::new(),
-                warm,
+                prefix_index,
                 retries,
                 service_times: HashMap::new(),
-                drain: HashMap::new(),
+                drain_rates: HashMap::new(),
             }),
             prefix_recovery: Mutex::new(recovery),
             pending_changes: Mutex::default(),
@@ -213,7 +213,7 @@
 
     /// Puts new settings into force. The name, zone, regions and addresses of the process do not
     /// change.
-    pub(crate) fn use_settings(&self, new_settings: RouterSettings) {
+    pub(crate) fn apply_settings(&self, new_settings: RouterSettings) {
         let current = self.settings();
         let settings = RouterSettings {
             name: current.name.clone(),
@@ -229,7 +229,7 @@
         {
             let mut traffic = self.traffic();
             traffic.retries.set_settings(settings.retry.clone());
-            traffic.warm.set_settings(settings.warm);
+            traffic.prefix_index.set_settings(settings.warm);
         }
         self.settings.store(Arc::new(settings));
     }
@@ -279,28 +279,28 @@
     }
 
     /// Uses a collector's digest for placement, and marks the routers that it reports as silent.
-    pub(crate) fn use_digest(&self, from: SocketAddr, digest: &LoadDigest) {
+    pub(crate) fn apply_digest(&self, from: SocketAddr, digest: &LoadDigest) {
         let now_ms = Clock.now_ms();
         self.peers().record_silent(&digest.silent, now_ms);
         let mut exchange = self.load_exchange();
         exchange.record_digest(from, digest);
         if let Some(loads) = exchange.loads(now_ms) {
-            self.use_loads(loads.clone(), DIGEST_AGE_MS, now_ms);
+            self.apply_loads(loads.clone(), DIGEST_AGE_MS, now_ms);
         }
     }
 
     /// Uses the loads in other routers' heartbeats for placement, unless there is a recent digest.
-    pub(crate) fn use_heartbeat_loads(&self, now_ms: u64) {
+    pub(crate) fn apply_heartbeat_loads(&self, now_ms: u64) {
         if self.load_exchange().loads(now_ms).is_none() {
             let peers = self.peers();
             let age_ms = peers.heartbeat_interval_ms() / 2;
             let loads = peers.loads(now_ms);
             drop(peers);
-            self.use_loads(loads, age_ms, now_ms);
+            self.apply_loads(loads, age_ms, now_ms);
         }
     }
 
-    fn use_loads(&self, loads: LoadsByServer, age_ms: u64, now_ms: u64) {
+    fn apply_loads(&self, loads: LoadsByServer, age_ms: u64, now_ms: u64) {
         let updated = self.peer_loads.load().update(loads, age_ms, now_ms);
         self.peer_loads.store(Arc::new(updated));
     }
@@ -327,7 +327,8 @@
 
     /// Passes changes that another router relayed to the watch on the servers.
     pub(crate) fn deliver_changes(&self, fragment: ChangesFragment) {
-        // If the queue is full, the next heartbeat advertises the change and the watch reads it.
+        // If the queue is full, the change is dropped: the next heartbeat advertises it, and the
+        // watch reads it.
         drop(self.relayed.try_send(fragment));
         self.servers_watch().changed.notify_one();
     }
@@ -337,7 +338,8 @@
         lock(&self.relayed_queue).take()
     }
 
-    /// The version up to which this router knows a listing that routers read from each other.
+    /// The version of a listing at this router. Routers read only the configuration and the servers
+    /// from each other.
     pub(crate) fn version_of(&self, listing: Listing) -> Option<u64> {
         let watch = match listing {
             Listing::Configuration => self.configuration_watch(),
@@ -467,12 +469,12 @@
     }
 
     /// The configuration in force for a request that arrived at a time; none before the first one.
-    pub(crate) fn in_force(&self, arrived_ms: u64) -> Option<InForce> {
+    pub(crate) fn in_force(&self, arrived_ms: u64) -> Option<ConfigurationInForce> {
         // A configuration is put into force before its proof is recorded. Reading the proof first
         // guarantees that it is never applied to an older configuration than its own.
         let has_fresh_keys = self.keys_are_fresh();
         let is_usable = self.configuration_is_usable(arrived_ms);
-        Some(InForce {
+        Some(ConfigurationInForce {
             configuration: self.configuration.load_full()?,
             has_fresh_keys,
             is_usable,
@@ -486,8 +488,8 @@
         state.is_usable(arrived_ms, bound_ms)
     }
 
-    /// Whether requests may be sent to the backend servers that this router knows. False if a newer
-    /// list is known to exist and a server on the known one may have left longer ago than
+    /// Whether requests may be sent to the backend servers on this router's list. False if a newer
+    /// list is known to exist and a server on the current one may have left longer ago than
     /// `drain_bound_ms` allows.
     pub(crate) fn servers_are_usable(&self) -> bool {
         let bound_ms = self
@@ -510,10 +512,10 @@
     }
 
     /// Whether this router serves requests that need no key. They require no proof that the
-    /// configuration is the newest, only that no newer one is known for too long.
+    /// configuration is the newest, only that no newer one has been advertised for too long.
     pub(crate) fn serves_open_routes(&self) -> bool {
-        let known = self.servers_known.load(Ordering::Relaxed);
-        known
+        let has_server_list = self.has_server_list.load(Ordering::Relaxed);
+        has_server_list
             && self.configuration.load().is_some()
             && self.configuration_is_usable(Clock.now_ms())
             && self.leaving_for_ms().is_none()
--- a/crates/sapphiretrack-router/src/snapshots.rs
+++ b/crates/sapphiretrack-router/src/snapshots.rs
@@ -25,10 +25,10 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
+use crate::caller_listener::accept_next;
 use crate::clock::Clock;
-use crate::front::accept_next;
+use crate::endpoints::status_answer;
 use crate::http_call::{CallError, CallLimits, HttpCaller};
-use crate::lookups::status_answer;
 use crate::ports::{Listing, Record};
 use crate::shared::Shared;
 
@@ -64,13 +64,13 @@
         /// The underlying error.
         source: CallError,
     },
-    /// The router serves others, or does not know the listing yet.
+    /// The router serves others, or has not read the listing yet.
     #[snafu(display("the router is busy (hint: another one is tried; it named {})", served.len()))]
     Busy {
         /// Routers that it served lately, which therefore may have the listing.
         served: Vec<SocketAddr>,
     },
-    /// The router has nothing newer, or knows no such listing.
+    /// The router has nothing newer, or does not serve such a listing.
     #[snafu(display("the router refused with status {status} (hint: another router is tried)"))]
     Refused {
         /// The HTTP status.
@@ -86,7 +86,7 @@
     },
 }
 
-/// A listing as one router knows it.
+/// A listing as one router has it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Snapshot {
     /// The version up to which it holds all changes.
@@ -118,7 +118,7 @@
 
 impl Query {
     /// Formats the query string of a request. A zone with characters outside `[A-Za-z0-9_.-]` is
-    /// left empty; it only affects the order of the routers that are named.
+    /// left empty; it only affects which routers are suggested.
     fn to_query_string(&self) -> String {
         let mut text = String::new();
         if let Some(after) = self.after {
@@ -161,8 +161,8 @@
 }
 
 impl Snapshot {
-    /// Builds a snapshot of this router's listing, or of the changes after version `base` if they
-    /// are still known. None before the router knows the listing.
+    /// Builds a snapshot of this router's listing, or of the changes after version `base` if its
+    /// log still holds them. None if the router has not read the listing yet.
     fn capture(shared: &Shared, listing: Listing, base: Option<u64>) -> Option<Self> {
         let changes = base
             .filter(|_| listing == Listing::Servers)
@@ -179,9 +179,9 @@
                 let configuration = shared.configuration.load_full()?;
                 let known = base.and_then(|base| shared.configuration_log().since(base));
                 let changes = known.unwrap_or_else(|| {
-                    let nothing = Configuration::default();
-                    let whole = ConfigurationChange::between(&nothing, &configuration);
-                    vec![Arc::new(whole)]
+                    let empty = Configuration::default();
+                    let from_empty = ConfigurationChange::between(&empty, &configuration);
+                    vec![Arc::new(from_empty)]
                 });
                 let watch = shared.configuration_watch();
                 (watch, Content::Configuration(changes))
@@ -296,7 +296,7 @@
         return Err(FetchError::Busy { served });
     }
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        // The router does not know the listing itself yet.
+        // The router itself has not read the listing yet.
         return Err(FetchError::Busy { served: Vec::new() });
     }
     if status != StatusCode::OK {
@@ -326,7 +326,7 @@
                         *held_permit.lock().unwrap_or_else(PoisonError::into_inner) = Some(permit);
                         Response::new(Full::new(body))
                     }
-                    Err(refusal) => refusal.into_answer(),
+                    Err(error) => error.into_answer(),
                 };
                 async move { Ok::<_, Infallible>(answer) }
             })
@@ -344,18 +344,18 @@
 }
 
 /// Why a listing is not served.
-enum Refusal {
+enum ServeError {
     Status(StatusCode),
-    /// No capacity is left; names readers that were served lately.
+    /// No capacity is left; contains readers that were served lately.
     Busy(Vec<SocketAddr>),
 }
 
-impl Refusal {
+impl ServeError {
     fn into_answer(self) -> Response<Full<Bytes>> {
         match self {
             Self::Status(status) => status_answer(status),
-            Self::Busy(named) => {
-                let body = encoding().serialize(&named).unwrap_or_default();
+            Self::Busy(suggested) => {
+                let body = encoding().serialize(&suggested).unwrap_or_default();
                 let mut answer = Response::new(Full::new(Bytes::from(body)));
                 *answer.status_mut() = StatusCode::TOO_MANY_REQUESTS;
                 answer
@@ -404,21 +404,21 @@
         &mut self,
         shared: &Shared,
         request: &Request<Incoming>,
-    ) -> Result<(Bytes, OwnedSemaphorePermit), Refusal> {
+    ) -> Result<(Bytes, OwnedSemaphorePermit), ServeError> {
         let name = request.uri().path().strip_prefix(PATH_PREFIX);
         let listings = [Listing::Configuration, Listing::Servers];
         let listing = listings.into_iter().find(|one| name == Some(one.as_str()));
-        let listing = listing.ok_or(Refusal::Status(StatusCode::NOT_FOUND))?;
+        let listing = listing.ok_or(ServeError::Status(StatusCode::NOT_FOUND))?;
         let query = Query::parse(request.uri().query().unwrap_or_default());
         let body = self.encode(shared, listing, &query)?;
         let reader = query.reader;
         let kib = body.len().div_ceil(1_024).clamp(1, MAX_SERVED_KIB);
         let permit = self.capacity_kib.clone().try_acquire_many_owned(kib as u32);
         let permit = permit.map_err(|_| {
-            let named = reader
+            let suggested = reader
                 .as_ref()
                 .map(|reader| self.readers.suggest_to(reader));
-            Refusal::Busy(named.unwrap_or_default())
+            ServeError::Busy(suggested.unwrap_or_default())
         })?;
         if let Some(reader) = reader {
             self.readers.record(reader);
@@ -433,11 +433,11 @@
         shared: &Shared,
         listing: Listing,
         query: &Query,
-    ) -> Result<Bytes, Refusal> {
+    ) -> Result<Bytes, ServeError> {
         let version = shared.version_of(listing);
-        let version = version.ok_or(Refusal::Status(StatusCode::SERVICE_UNAVAILABLE))?;
+        let version = version.ok_or(ServeError::Status(StatusCode::SERVICE_UNAVAILABLE))?;
         if query.after.is_some_and(|after| version <= after) {
-            return Err(Refusal::Status(StatusCode::NOT_MODIFIED));
+            return Err(ServeError::Status(StatusCode::NOT_MODIFIED));
         }
         let base = match listing {
             Listing::Configuration => query.in_force,
@@ -453,9 +453,9 @@
             return Ok(known.body.clone());
         }
         let snapshot = Snapshot::capture(shared, listing, base);
-        let snapshot = snapshot.ok_or(Refusal::Status(StatusCode::SERVICE_UNAVAILABLE))?;
+        let snapshot = snapshot.ok_or(ServeError::Status(StatusCode::SERVICE_UNAVAILABLE))?;
         let body = encoding().serialize(&snapshot);
-        let body = body.map_err(|_| Refusal::Status(StatusCode::INTERNAL_SERVER_ERROR))?;
+        let body = body.map_err(|_| ServeError::Status(StatusCode::INTERNAL_SERVER_ERROR))?;
         let body = Bytes::from(body);
         if self.encoded.len() == Self::MAX_ENCODED {
             self.encoded.pop_front();
--- a/crates/sapphiretrack-router/src/watch.rs
+++ b/crates/sapphiretrack-router/src/watch.rs
@@ -1,4 +1,4 @@
-//! A watch of one listing: reads it from the store, or from routers that did.
+//! A watch of one listing: reads it from the store, or from other routers that have it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,15 +15,15 @@
 use tokio::time::sleep;
 
 use crate::clock::Clock;
-use crate::control::apply_configuration;
 use crate::events::{Event, note};
+use crate::listing_updates::apply_configuration;
 use crate::ports::{Listing, Record, StoreAnswer, StoreError, StorePort};
 use crate::shared::{ListingWatch, Shared};
 
 /// The interval at which a waiting router checks whether it has become a watcher.
 const ROLE_CHECK_MS: u64 = 250;
-/// How long after another router's advert of a change the store's answer to this one may still
-/// arrive: two watchers get it at about the same time.
+/// How long after another router's advert of a change this router still waits for the store's
+/// answer: the store answers all watchers at about the same time.
 const HUNG_CALL_MS: u64 = 250;
 /// The interval at which a router that waits longer checks whether another one has the change.
 const HUNG_CALL_CHECK_MS: u64 = 50;
@@ -35,23 +35,24 @@
     pub(crate) listing: Listing,
     failures: u32,
     pub(crate) source: ListingSource,
-    /// The queue of changes that other routers pass on.
+    /// The queue of changes that other routers relay.
     pub(crate) relayed: Option<mpsc::Receiver<ChangesFragment>>,
     pub(crate) assembly: ChangesAssembly,
-    /// Routers that busy ones served lately: they have the listing, or will shortly.
-    pub(crate) named_routers: Vec<SocketAddr>,
+    /// Routers that busy ones suggested because they served them lately: they have the listing, or
+    /// will shortly.
+    pub(crate) suggested_routers: Vec<SocketAddr>,
 }
 
-/// Why a router calls the store.
+/// The reason for a call to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CallReason {
-    /// The listing is not known yet, or its history was lost.
+    /// The listing was not read yet, or the store lost its history of changes.
     Unknown,
     /// This router keeps a watch open.
     Watcher,
     /// Another router advertised a change that has not arrived.
     Behind,
-    /// No other router proves the listing fresh.
+    /// There is no recent proof that the listing is the newest.
     Stale,
     /// This router registers itself.
     Registration,
@@ -83,18 +84,18 @@
     AskStore(u64, CallReason),
     /// Reads the listing from another router.
     Fetch(Holder),
-    /// Applies changes that another router passed on.
+    /// Applies changes that another router relayed.
     ApplyRelayed(Vec<ServerChange>),
     /// Returns without an update: the time limit has passed.
     Return,
 }
 
-/// What a call to the store brought, or another router passed on.
+/// The result of a call to the store, or what another router relayed.
 pub(crate) struct Update {
     /// The records.
     pub(crate) records: Vec<Record>,
     /// Whether the records are the whole listing.
-    pub(crate) is_whole: bool,
+    pub(crate) is_whole_listing: bool,
     /// How long the store had been failing before, in milliseconds.
     pub(crate) outage_ms: u64,
     /// Whether it comes from a call to the store.
@@ -103,10 +104,10 @@
 
 impl Update {
     /// Creates the update of a listing or changes from another router.
-    pub(crate) fn from_peer(records: Vec<Record>, is_whole: bool) -> Self {
+    pub(crate) fn from_peer(records: Vec<Record>, is_whole_listing: bool) -> Self {
         Self {
             records,
-            is_whole,
+            is_whole_listing,
             outage_ms: 0,
             is_from_store: false,
         }
@@ -123,7 +124,7 @@
             source: ListingSource::default(),
             relayed: None,
             assembly: ChangesAssembly::default(),
-            named_routers: Vec::new(),
+            suggested_routers: Vec::new(),
         }
     }
 
@@ -272,7 +273,12 @@
     }
 
     /// Applies an answer of the store.
-    fn apply_answer(&mut self, answer: StoreAnswer, is_whole: bool, sent_ms: u64) -> Update {
+    fn apply_answer(
+        &mut self,
+        answer: StoreAnswer,
+        is_whole_listing: bool,
+        sent_ms: u64,
+    ) -> Update {
         let now_ms = Clock.now_ms();
         let after = self.shared_watch().state().changed_version();
         let had_failed = self.failures > 0;
@@ -282,7 +288,7 @@
         let outage_ms = self.shared_watch().state().record_answer(&WatchAnswer {
             // The configuration is a single record that is replaced: its listing cannot hide a
             // removal.
-            may_hide_removals: is_whole && self.listing != Listing::Configuration,
+            may_hide_removals: is_whole_listing && self.listing != Listing::Configuration,
             sent_ms,
             received_ms: now_ms,
             version: answer.version,
@@ -296,15 +302,15 @@
                 outage_ms = outage_ms
             );
         }
-        if is_whole {
+        if is_whole_listing {
             self.clear_change_log();
         } else if !answer.records.is_empty() {
-            self.pass_on(after, &answer);
+            self.relay_changes(after, &answer);
         }
         self.shared.listings_read.notify_one();
         Update {
             records: answer.records,
-            is_whole,
+            is_whole_listing,
             outage_ms,
             is_from_store: true,
         }
@@ -319,9 +325,9 @@
         }
     }
 
-    /// Passes changes of the backend servers on to the other routers, which then need not ask for
+    /// Relays changes of the backend servers to the other routers, which then need not ask for
     /// them.
-    fn pass_on(&self, after: u64, answer: &StoreAnswer) {
+    fn relay_changes(&self, after: u64, answer: &StoreAnswer) {
         let changes = answer.records.iter().filter_map(|record| match record {
             Record::Server(change) => Some(change.clone()),
             Record::Configuration(_)
--- a/crates/sapphiretrack-router/tests/policy.rs
+++ b/crates/sapphiretrack-router/tests/policy.rs
@@ -1,4 +1,5 @@
-//! Policy settings: agreement of the table with its documentation, accepted ranges and error messages.
+//! Policy settings: agreement of the table with its documentation, accepted ranges and error
+//! messages.
 
 use sapphiretrack_router::{POLICY, PolicyError, RouterSettings, policy_help, set_policy};
 
