--- a/crates/sapphiretrack-router/src/endpoints.rs
+++ b/crates/sapphiretrack-router/src/endpoints.rs
@@ -145,14 +145,15 @@
     if ready.is_empty() && shared.serves_open_routes() {
         ready.push((&settings.zone, settings.caller_address));
     }
-    let within = |limit: Distance| {
+    let addresses_within = |limit: Distance| {
         let near = ready
             .iter()
             .filter(|(other, _)| zone.is_some_and(|zone| settings.distance(zone, other) <= limit));
         let near: Vec<SocketAddr> = near.map(|(_, address)| *address).collect();
         (near.len() >= MIN_NEAR_ROUTERS).then_some(near)
     };
-    let near = within(Distance::SameZone).or_else(|| within(Distance::SameRegion));
+    let near =
+        addresses_within(Distance::SameZone).or_else(|| addresses_within(Distance::SameRegion));
     let all = || ready.iter().map(|(_, address)| *address).collect();
     let addresses: Vec<SocketAddr> = near.unwrap_or_else(all);
     sample_addresses(addresses, MAX_ADDRESSES, || rand::rng().random())
--- a/crates/sapphiretrack-router/src/peer_messages.rs
+++ b/crates/sapphiretrack-router/src/peer_messages.rs
@@ -180,7 +180,7 @@
 }
 
 /// Forwards a message to the other routers of this router's availability zone.
-async fn relay(shared: &Shared, socket: &UdpSocket, message: &[u8]) {
+async fn forward_in_zone(shared: &Shared, socket: &UdpSocket, message: &[u8]) {
     let zone_peers: Vec<SocketAddr> = {
         let settings = shared.settings();
         let peers = shared.peers();
@@ -238,7 +238,7 @@
             message = match bincode::deserialize(inner) {
                 Ok(RouterMessage::Relay(_)) => continue,
                 Ok(inner_message) => {
-                    relay(&shared, &socket, inner).await;
+                    forward_in_zone(&shared, &socket, inner).await;
                     inner_message
                 }
                 Err(error) => {
--- a/crates/sapphiretrack-router/src/settings.rs
+++ b/crates/sapphiretrack-router/src/settings.rs
@@ -114,7 +114,8 @@
     /// The delay before the next watch after a change, so that many changes in a row cost few
     /// calls. It must be far below the time within which a configuration must be in force.
     pub change_pause_ms: u64,
-    /// The base delay after a failed call to the store, doubled up to four times.
+    /// The base delay after a failed call to the store; it doubles with each further failure, up to
+    /// four times its length.
     pub store_retry_ms: u64,
     /// The heartbeat interval in a fleet of usual size. Loads that other routers see are at most
     /// this old.
--- a/crates/sapphiretrack-router/src/shared.rs
+++ b/crates/sapphiretrack-router/src/shared.rs
@@ -315,7 +315,8 @@
         lock(&self.prefix_recovery)
     }
 
-    /// Queues changes to be relayed to other routers with the next heartbeat.
+    /// Queues changes to be relayed to other routers with the next adverts of this router's
+    /// listings.
     pub(crate) fn queue_changes(&self, changes: ServerChanges) {
         lock(&self.pending_changes).push(changes);
     }
--- a/crates/sapphiretrack-routing/src/change_log.rs
+++ b/crates/sapphiretrack-routing/src/change_log.rs
@@ -171,11 +171,11 @@
         if partial.received.len() < usize::from(count) {
             return None;
         }
-        let (_, whole) = self.batches.remove(position)?;
+        let (_, complete) = self.batches.remove(position)?;
         Some(ServerChanges {
             after: key.0,
             version: key.1,
-            changes: whole.received.into_values().flatten().collect(),
+            changes: complete.received.into_values().flatten().collect(),
         })
     }
 
--- a/crates/sapphiretrack-routing/src/load_digest.rs
+++ b/crates/sapphiretrack-routing/src/load_digest.rs
@@ -27,11 +27,11 @@
     const UNIT_TOKENS: u64 = 64;
 
     fn new(server: u32, in_flight: u64, prefill_tokens: u64) -> Self {
-        let capped = |value: u64| value.min(u64::from(u16::MAX)) as u16;
+        let cap_to_u16 = |value: u64| value.min(u64::from(u16::MAX)) as u16;
         Self {
             server,
-            in_flight: capped(in_flight),
-            prefill_units: capped(prefill_tokens.div_ceil(Self::UNIT_TOKENS)),
+            in_flight: cap_to_u16(in_flight),
+            prefill_units: cap_to_u16(prefill_tokens.div_ceil(Self::UNIT_TOKENS)),
         }
     }
 
--- a/crates/sapphiretrack-routing/tests/configuration_change.rs
+++ b/crates/sapphiretrack-routing/tests/configuration_change.rs
@@ -91,8 +91,8 @@
         let change = round_trip(&ConfigurationChange::between(&before, &after));
         prop_assert_eq!(change.apply(&before), Some(after.clone()));
         prop_assert_eq!(change.apply(&after), None, "it starts from another version");
-        let whole = ConfigurationChange::between(&Configuration::default(), &after);
-        prop_assert_eq!(round_trip(&whole).apply(&Configuration::default()), Some(after));
+        let from_empty = ConfigurationChange::between(&Configuration::default(), &after);
+        prop_assert_eq!(round_trip(&from_empty).apply(&Configuration::default()), Some(after));
     }
 
     #[test]
@@ -144,9 +144,13 @@
     };
     let (before, after) = (with_routes(1, 4_000), with_routes(2, 4_001));
     let size = |change: &ConfigurationChange| bincode::serialized_size(change).expect("encoded");
-    let whole = ConfigurationChange::between(&Configuration::default(), &before);
-    assert_eq!(whole.entries(), 4_000);
-    assert!(size(&whole) <= 4_000 * 40, "{} bytes", size(&whole));
+    let from_empty = ConfigurationChange::between(&Configuration::default(), &before);
+    assert_eq!(from_empty.entries(), 4_000);
+    assert!(
+        size(&from_empty) <= 4_000 * 40,
+        "{} bytes",
+        size(&from_empty)
+    );
     let one_more = ConfigurationChange::between(&before, &after);
     assert_eq!(one_more.entries(), 1);
     assert!(size(&one_more) <= 400, "{} bytes", size(&one_more));
--- a/crates/sapphiretrack-routing/tests/crash_evidence.rs
+++ b/crates/sapphiretrack-routing/tests/crash_evidence.rs
@@ -107,18 +107,18 @@
             }
             evidence
         };
-        let whole = merged(&[&records_a, &records_b, &records_c]);
-        prop_assert_eq!(content(&whole), content(&merged(&[&records_c, &records_b, &records_a])));
+        let all_merged = merged(&[&records_a, &records_b, &records_c]);
+        prop_assert_eq!(content(&all_merged), content(&merged(&[&records_c, &records_b, &records_a])));
         prop_assert_eq!(
-            content(&whole),
+            content(&all_merged),
             content(&merged(&[&records_a, &records_b, &records_a, &records_c, &records_b]))
         );
         // The merged records of two routers, sent to the third.
         let pair = merged(&[&records_b, &records_c]).records(1, usize::MAX, 0);
         let grouped = merged(&[&records_a, &pair]);
-        prop_assert_eq!(content(&whole), content(&grouped));
+        prop_assert_eq!(content(&all_merged), content(&grouped));
         let digest = |evidence: &CrashEvidence| CrashRecord::digest(&evidence.records(1, usize::MAX, 0));
-        prop_assert_eq!(digest(&whole), digest(&grouped));
+        prop_assert_eq!(digest(&all_merged), digest(&grouped));
     }
 
     #[test]
--- a/crates/sapphiretrack-routing/tests/event_stream.rs
+++ b/crates/sapphiretrack-routing/tests/event_stream.rs
@@ -31,10 +31,10 @@
             .enumerate()
             .map(|(index, data)| event(index as u64 + 1, data, line_end))
             .collect();
-        let whole = encoded.concat().into_bytes();
+        let stream_bytes = encoded.concat().into_bytes();
         let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
-        let mut rest = whole.as_slice();
+        let mut rest = stream_bytes.as_slice();
         let mut chunk_lengths = chunk_lengths.into_iter().cycle();
         while !rest.is_empty() {
             let length = chunk_lengths.next().expect("the iterator cycles").min(rest.len());
--- a/crates/sapphiretrack-routing/tests/large_listing.rs
+++ b/crates/sapphiretrack-routing/tests/large_listing.rs
@@ -224,12 +224,12 @@
         max_bytes in 40..2_000_usize,
         seed in any::<u64>(),
     ) {
-        let whole = batch(5, 9, count);
+        let original = batch(5, 9, count);
         let size = |change: &ServerChange| match change {
             ServerChange::Gone { id } => id.len(),
             _ => 100,
         };
-        let fragments = ChangesFragment::split(whole.clone(), max_bytes, size);
+        let fragments = ChangesFragment::split(original.clone(), max_bytes, size);
         prop_assert!(fragments.len() <= ChangesFragment::MAX_COUNT);
         for fragment in &fragments {
             let bytes: usize = fragment.changes.changes.iter().map(size).sum();
@@ -248,8 +248,8 @@
         let mut assembly = ChangesAssembly::default();
         let assembled: Vec<ServerChanges> =
             all.into_iter().filter_map(|fragment| assembly.add(fragment)).collect();
-        prop_assert!(assembled.contains(&whole));
-        prop_assert!(assembled.iter().all(|one| *one == whole || one.after == 4));
+        prop_assert!(assembled.contains(&original));
+        prop_assert!(assembled.iter().all(|one| *one == original || one.after == 4));
     }
 
     #[test]
--- a/crates/sapphiretrack-routing/tests/messages.rs
+++ b/crates/sapphiretrack-routing/tests/messages.rs
@@ -265,9 +265,9 @@
     ) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut bytes = bincode::serialize(&message).expect("the message can be encoded");
-        let whole: RouterMessage =
+        let decoded: RouterMessage =
             bincode::deserialize(&bytes).expect("the message can be decoded");
-        prop_assert_eq!(&whole, &message);
+        prop_assert_eq!(&decoded, &message);
         let truncated = bincode::deserialize::<RouterMessage>(&bytes[..bytes.len() - 1]);
         prop_assert!(truncated.is_err(), "a truncated message was decoded");
         for _ in 0..8 {
--- a/crates/sapphiretrack-routing/tests/placement.rs
+++ b/crates/sapphiretrack-routing/tests/placement.rs
@@ -113,12 +113,12 @@
 
 #[test]
 fn a_server_that_fails_often_is_avoided() {
-    let bad = Candidate {
+    let failing = Candidate {
         failure_share: 0.4,
         in_flight: 0,
         ..candidate(0)
     };
-    assert_eq!(choose(&[bad, candidate(1)]), Some(1));
+    assert_eq!(choose(&[failing, candidate(1)]), Some(1));
 }
 
 #[test]
--- a/crates/sapphiretrack-routing/tests/retry_share.rs
+++ b/crates/sapphiretrack-routing/tests/retry_share.rs
@@ -95,10 +95,10 @@
         "the time counts from the last refusal"
     );
     assert!(!share.is_full("s", 101_900));
-    let mut never = RetryShare::new(RetrySettings {
+    let mut without_full_time = RetryShare::new(RetrySettings {
         full_ms: 0,
         ..SETTINGS
     });
-    assert!(!never.record_full("s", 100_000));
-    assert!(!never.is_full("s", 100_000));
+    assert!(!without_full_time.record_full("s", 100_000));
+    assert!(!without_full_time.is_full("s", 100_000));
 }
