--- a/crates/sapphiretrack-router/src/settings.rs
+++ b/crates/sapphiretrack-router/src/settings.rs
@@ -102,10 +102,10 @@
     /// the store themselves: the duration of a watch, the network delay and a heartbeat interval,
     /// with a margin for one lost heartbeat.
     pub relay_ms: u64,
-    /// How much longer than the requested wait the store may take to begin its response, and to
-    /// send each further part of it.
+    /// How much longer than the requested wait the store may take to begin its answer, and to send
+    /// each further part of it.
     pub store_slack_ms: u64,
-    /// The time limit for a response of the store that keeps arriving. The size grows with the
+    /// The time limit for an answer of the store that keeps arriving. The size grows with the
     /// number of listed records, and links may be slow.
     pub store_answer_ms: u64,
     /// The time limit for a registration. The store serializes writes, so that the registrations of
@@ -114,7 +114,8 @@
     /// The delay before the next watch after a change, so that many changes in a row cost few
     /// calls. It must be far below the time within which a configuration must be in force.
     pub change_pause_ms: u64,
-    /// The base delay after a failed call to the store, doubled up to four times.
+    /// The base delay after a failed call to the store; it doubles with each further failure, up to
+    /// four times its length.
     pub store_retry_ms: u64,
     /// The heartbeat interval in a fleet of usual size. Loads that other routers see are at most
     /// this old.
--- a/crates/sapphiretrack-routing/tests/large_listing.rs
+++ b/crates/sapphiretrack-routing/tests/large_listing.rs
@@ -25,7 +25,7 @@
 fn holder(index: usize) -> Holder {
     Holder {
         address: ([10, 0, (index / 250) as u8, (index % 250) as u8], 80).into(),
-        is_near: true,
+        is_same_zone: true,
     }
 }
 
@@ -39,7 +39,8 @@
 #[derive(Clone, Default)]
 struct Router {
     source: ListingSource,
-    /// Other routers that have the listing, or are reading it, as far as this one knows.
+    /// Other routers that, by the adverts and suggestions that this one received, have the listing
+    /// or are reading it.
     known_holders: Vec<usize>,
     /// When the current call ends, and its kind.
     call: Option<(u64, Call)>,
@@ -223,12 +224,12 @@
         max_bytes in 40..2_000_usize,
         seed in any::<u64>(),
     ) {
-        let whole = batch(5, 9, count);
+        let original = batch(5, 9, count);
         let size = |change: &ServerChange| match change {
             ServerChange::Gone { id } => id.len(),
             _ => 100,
         };
-        let fragments = ChangesFragment::split(whole.clone(), max_bytes, size);
+        let fragments = ChangesFragment::split(original.clone(), max_bytes, size);
         prop_assert!(fragments.len() <= ChangesFragment::MAX_COUNT);
         for fragment in &fragments {
             let bytes: usize = fragment.changes.changes.iter().map(size).sum();
@@ -247,8 +248,8 @@
         let mut assembly = ChangesAssembly::default();
         let assembled: Vec<ServerChanges> =
             all.into_iter().filter_map(|fragment| assembly.add(fragment)).collect();
-        prop_assert!(assembled.contains(&whole));
-        prop_assert!(assembled.iter().all(|one| *one == whole || one.after == 4));
+        prop_assert!(assembled.contains(&original));
+        prop_assert!(assembled.iter().all(|one| *one == original || one.after == 4));
     }
 
     #[test]
@@ -263,7 +264,7 @@
         }
         let debug = format!("{assembly:?}");
         prop_assert!(debug.matches("count: 3").count() <= 4);
-        assembly.forget_until(count);
+        assembly.drop_until(count);
         let debug = format!("{assembly:?}");
         prop_assert!(!debug.contains("count: 3"));
     }
